--- a/base/src/main/java/rv/base/ItemId.java
+++ b/base/src/main/java/rv/base/ItemId.java
@@ -10,15 +10,18 @@
     /** Its version is the epoch of the voting set that it names. */
     public static final ItemId VOTERS = new ItemId(Kind.VOTERS, "voters");
 
+    /** Decides operators' calls. */
+    public static final ItemId LEDGER = new ItemId(Kind.LEDGER, "orders");
+
     @JsonCreator
     public static ItemId parse(final String text) {
         final int cut = text.indexOf('/');
-        return new ItemId(Kind.valueOf(text.substring(0, cut)), text.substring(cut + 1));
+        return new ItemId(Kind.ofCode(text.substring(0, cut)), text.substring(cut + 1));
     }
 
     @JsonValue
     public String text() {
-        return kind.name() + "/" + name;
+        return kind.code() + "/" + name;
     }
 
     /** The same in every process: an enum's own differs from run to run, and with it the order of hashed collections. */
--- a/base/src/main/java/rv/base/Kind.java
+++ b/base/src/main/java/rv/base/Kind.java
@@ -5,20 +5,40 @@
 
 /** The kinds of replicated items. */
 public enum Kind {
-    ROUTE,
-    SERVICE,
-    PURGE,
-    ORIGIN,
-    PLAN,
-    TENURE,
-    SWEEP,
-    LIMIT,
+    ROUTE("ROUTE"),
+    SERVICE("SERVICE"),
+    PURGE("PURGE"),
+    ORIGIN("ORIGIN"),
+    PLAN("PLAN"),
+    TENURE("TENURE"),
+    SWEEP("SWEEP"),
+    LIMIT("LIMIT"),
     /** Which number of each item was taken with which body; written by the order sequencer only. */
-    LEDGER,
-    VOTERS;
+    LEDGER("LEDGER"),
+    VOTERS("VOTERS");
+
+    private final String code;
+
+    Kind(final String code) {
+        this.code = code;
+    }
+
+    /** The kind's name in stored data and between processes; it never changes. */
+    public String code() {
+        return code;
+    }
+
+    public static Kind ofCode(final String code) {
+        for (final Kind kind : values()) {
+            if (kind.code.equals(code)) {
+                return kind;
+            }
+        }
+        throw new IllegalArgumentException("no kind of item is named " + code);
+    }
 
     public String word() {
-        return name().toLowerCase(Locale.ROOT);
+        return code.toLowerCase(Locale.ROOT);
     }
 
     /** Versions of such a kind come from one count for all its items. */
--- a/base/src/main/java/rv/base/Wire.java
+++ b/base/src/main/java/rv/base/Wire.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.jsontype.NamedType;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
 
@@ -25,9 +24,7 @@
                 .serializationInclusion(JsonInclude.Include.NON_NULL)
                 .build();
         map.addMixIn(Msg.class, Typed.class);
-        for (final Class<?> c : Msg.class.getPermittedSubclasses()) {
-            map.registerSubtypes(new NamedType(c, c.getSimpleName()));
-        }
+        map.registerSubtypes(Msg.class.getPermittedSubclasses());
         return map;
     }
 
--- /dev/null
+++ b/control/src/test/java/rv/control/SampleValues.java
@@ -0,0 +1,140 @@
+package rv.control;
+
+import java.lang.reflect.Constructor;
+import java.lang.reflect.InvocationTargetException;
+import java.lang.reflect.ParameterizedType;
+import java.lang.reflect.RecordComponent;
+import java.lang.reflect.Type;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SortedMap;
+import java.util.TreeMap;
+import rv.base.ItemId;
+import rv.base.Kind;
+import rv.base.Msg;
+import rv.base.NodeId;
+import rv.base.Token;
+import rv.base.Ver;
+
+/** Builds values of records by the order and types of their components, never by their names. */
+final class SampleValues {
+    /** Texts that stand for one of a few values, by the position of their component. */
+    private static final Map<Class<?>, Map<Integer, String>> CODES = Map.of(
+            Msg.Nay.class, Map.of(0, "disk"),
+            Msg.Claim.class, Map.of(2, "HELD"),
+            Msg.Filled.class, Map.of(0, "done"),
+            Msg.Ordered.class, Map.of(0, "STANDS"),
+            Match.class, Map.of(2, "cached"),
+            Service.class, Map.of(0, "content"),
+            Origin.class, Map.of(4, "open"));
+
+    private long count;
+
+    /** Every component holds something. */
+    static <T> T full(final Class<T> type) {
+        return type.cast(new SampleValues().value(type));
+    }
+
+    /** Every component that may be null is null; empty where the record does not take that. */
+    static <T> Optional<T> sparse(final Class<T> type) {
+        final RecordComponent[] components = type.getRecordComponents();
+        final Object[] values = Arrays.stream(components)
+                .map(c -> c.getType().isPrimitive() ? new SampleValues().value(c.getType()) : null)
+                .toArray();
+        if (Arrays.stream(values).allMatch(v -> v != null)) {
+            return Optional.empty();
+        }
+        try {
+            return Optional.of(type.cast(constructor(type).newInstance(values)));
+        } catch (final InvocationTargetException e) {
+            return Optional.empty();
+        } catch (final ReflectiveOperationException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private static Constructor<?> constructor(final Class<?> type) throws NoSuchMethodException {
+        final Class<?>[] types = Arrays.stream(type.getRecordComponents())
+                .map(RecordComponent::getType)
+                .toArray(Class<?>[]::new);
+        final Constructor<?> constructor = type.getDeclaredConstructor(types);
+        constructor.setAccessible(true);
+        return constructor;
+    }
+
+    private Object value(final Type type) {
+        if (type instanceof ParameterizedType p) {
+            return generic((Class<?>) p.getRawType(), p.getActualTypeArguments());
+        }
+        return plain((Class<?>) type);
+    }
+
+    private Object generic(final Class<?> raw, final Type[] arguments) {
+        if (raw == List.class) {
+            return List.of(value(arguments[0]), value(arguments[0]));
+        }
+        if (raw == Map.class || raw == SortedMap.class) {
+            return new TreeMap<>(Map.of(value(arguments[0]), value(arguments[1])));
+        }
+        throw new IllegalArgumentException("no sample of " + raw);
+    }
+
+    private Object plain(final Class<?> type) {
+        final long n = ++count;
+        if (type == long.class || type == Long.class) {
+            return n;
+        }
+        if (type == int.class || type == Integer.class) {
+            return (int) n;
+        }
+        if (type == double.class || type == Double.class) {
+            return n + 0.5;
+        }
+        if (type == boolean.class) {
+            return true;
+        }
+        if (type == String.class) {
+            return "text-" + n;
+        }
+        if (type == byte[].class) {
+            return new byte[] {(byte) n, 0, -1};
+        }
+        if (type == NodeId.class) {
+            return NodeId.of("node-" + n);
+        }
+        if (type == ItemId.class) {
+            return new ItemId(Kind.values()[(int) n % Kind.values().length], "item-" + n);
+        }
+        if (type == Ver.class) {
+            return new Ver(n);
+        }
+        if (type == Token.class) {
+            return new Token(n, n + 1);
+        }
+        if (type.isEnum()) {
+            return type.getEnumConstants()[(int) n % type.getEnumConstants().length];
+        }
+        if (type == Msg.class) {
+            return new Msg.Ok();
+        }
+        return record(type);
+    }
+
+    private Object record(final Class<?> type) {
+        final RecordComponent[] components = type.getRecordComponents();
+        final Map<Integer, String> codes = CODES.getOrDefault(type, Map.of());
+        final Object[] values = new Object[components.length];
+        for (int i = 0; i < components.length; i++) {
+            values[i] = codes.containsKey(i)
+                    ? Json.read('"' + codes.get(i) + '"', components[i].getType())
+                    : value(components[i].getGenericType());
+        }
+        try {
+            return constructor(type).newInstance(values);
+        } catch (final ReflectiveOperationException e) {
+            throw new IllegalStateException("no sample of " + type, e);
+        }
+    }
+}
