--- /dev/null
+++ b/control/src/main/java/rv/control/ApiResult.java
@@ -0,0 +1,61 @@
+package rv.control;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import rv.base.Finding;
+import rv.base.ItemId;
+
+/** A status and the members of the JSON body that goes with it. */
+public record ApiResult(int status, Map<String, Object> body) {
+    /** {@code pairs}: further members of the body, name and value in turn. */
+    public static ApiResult done(final Object... pairs) {
+        final Map<String, Object> body = members("fate", "done");
+        body.putAll(members(pairs));
+        return new ApiResult(200, body);
+    }
+
+    /** Nothing can be said for certain; the same again is welcome after {@code retryMs}. */
+    public static ApiResult unavailable(final String reason, final long retryMs) {
+        return new ApiResult(503, members("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
+    }
+
+    /** The number was taken with another body; {@code version} is the one that stands. */
+    public static ApiResult conflict(final ItemId item, final long version) {
+        return new ApiResult(
+                409,
+                members(
+                        "fate",
+                        "refused",
+                        "item",
+                        item.kind().word() + "/" + item.name(),
+                        "reason",
+                        "this version was taken with another body",
+                        "version",
+                        version));
+    }
+
+    /** Members of a JSON object, name and value in turn. */
+    static Map<String, Object> members(final Object... pairs) {
+        final Map<String, Object> map = new LinkedHashMap<>();
+        for (int i = 0; i < pairs.length; i += 2) {
+            map.put((String) pairs[i], pairs[i + 1]);
+        }
+        return map;
+    }
+
+    /** The statement has faults; nothing of it was taken. */
+    public static ApiResult invalid(final List<Finding> list) {
+        return new ApiResult(
+                422,
+                members(
+                        "fate",
+                        "refused",
+                        "reason",
+                        "the statement has faults",
+                        "findings",
+                        list.stream()
+                                .map(f -> members("path", f.place(), "text", f.text()))
+                                .toList()));
+    }
+}
--- a/control/src/main/java/rv/control/Authority.java
+++ b/control/src/main/java/rv/control/Authority.java
@@ -50,13 +50,6 @@
     private boolean busy;
     private boolean wary;
 
-    /** The places that shards belong to. */
-    public interface Places {
-        int at(String cell);
-
-        int count();
-    }
-
     private static final class Row {
         private long granted;
         private long renewed;
--- a/control/src/main/java/rv/control/ConfigView.java
+++ b/control/src/main/java/rv/control/ConfigView.java
@@ -16,31 +16,20 @@
 /** What the held items mean to traffic, folded anew after each change. */
 public final class ConfigView {
     private final ItemStore held;
-    private final List<Row> rows = new ArrayList<>();
+    private final List<ConfiguredRoute> rows = new ArrayList<>();
     private final Map<String, Service> services = new TreeMap<>();
     private final Map<String, Match> routes = new TreeMap<>();
     private final Map<String, Map<String, Map<ItemId, Ver>>> exact = new HashMap<>();
     private final Map<String, Map<ItemId, Wide>> wide = new HashMap<>();
     private final Map<ItemId, Purge> purges = new HashMap<>();
     private final Map<ItemId, Origin> origins = new TreeMap<>();
-    private final Map<String, List<Row>> hosts = new HashMap<>();
+    private final Map<String, List<ConfiguredRoute>> hosts = new HashMap<>();
     private final Map<String, Map<String, Long>> spots = new HashMap<>();
     private final Map<String, Tagged> tags = new HashMap<>();
     private volatile Limits limits = Limits.PLAIN;
     private Plan plan = new Plan(0, 0, List.of());
     private boolean old;
 
-    /** {@code service} is empty where none stands; such a route takes its paths and serves none of them. */
-    public record Row(String name, Match match, Service service, Optional<Rule> rule) {
-        public boolean fit() {
-            return service != null && !(Match.ONCE.equals(match.mode()) && service.content());
-        }
-
-        public long timeoutMs() {
-            return match.timeoutMs() > 0 ? match.timeoutMs() : service.cutoffMs();
-        }
-    }
-
     /** The version of a tag's newest purge, and when this node learned of it. */
     public record Tagged(long ver, long at) {}
 
@@ -134,21 +123,22 @@
         old = false;
         rows.clear();
         hosts.clear();
-        routes.forEach((n, m) -> rows.add(new Row(
+        routes.forEach((n, m) -> rows.add(new ConfiguredRoute(
                 n,
                 m,
                 m.services().stream().allMatch(services::containsKey)
                         ? services.get(m.services().get(0))
                         : null,
                 m.when().isEmpty() ? Optional.empty() : Optional.of(Rule.of(m.when())))));
-        rows.sort(
-                Comparator.comparingInt((Row r) -> -r.match().prefix().length()).thenComparing(Row::name));
+        rows.sort(Comparator.comparingInt(
+                        (ConfiguredRoute r) -> -r.match().prefix().length())
+                .thenComparing(ConfiguredRoute::name));
         rows.forEach(r ->
                 hosts.computeIfAbsent(r.match().host(), k -> new ArrayList<>()).add(r));
     }
 
     /** The longest prefix among the host's own routes; routes that name no host take what those leave. */
-    public Optional<Row> route(final String host, final String path) {
+    public Optional<ConfiguredRoute> route(final String host, final String path) {
         fold();
         return hosts.getOrDefault(host, List.of()).stream()
                 .filter(r -> r.match().takes(path))
@@ -158,7 +148,7 @@
                         .findFirst());
     }
 
-    public Optional<Row> route(final String path) {
+    public Optional<ConfiguredRoute> route(final String path) {
         return route("", path);
     }
 
@@ -175,7 +165,7 @@
         return marked.entrySet().stream().allMatch(e -> tagged(e.getKey()).ver() <= e.getValue());
     }
 
-    public Optional<Row> named(final String name) {
+    public Optional<ConfiguredRoute> named(final String name) {
         fold();
         return rows.stream().filter(r -> r.name().equals(name) && r.fit()).findFirst();
     }
@@ -184,7 +174,7 @@
         return plan;
     }
 
-    public List<Row> rows() {
+    public List<ConfiguredRoute> rows() {
         fold();
         return rows;
     }
@@ -205,7 +195,7 @@
         return services.get(name);
     }
 
-    public Mark mark(final Row row, final String path) {
+    public Mark mark(final ConfiguredRoute row, final String path) {
         final Map<String, Long> vers = new TreeMap<>();
         exact.getOrDefault(row.name(), Map.of())
                 .getOrDefault(path, Map.of())
@@ -240,7 +230,7 @@
     public long longestKeyed() {
         return rows().stream()
                 .filter(r -> r.match().is(Match.ONCE) && r.service() != null)
-                .mapToLong(Row::timeoutMs)
+                .mapToLong(ConfiguredRoute::timeoutMs)
                 .max()
                 .orElse(0);
     }
--- a/control/src/main/java/rv/control/Holder.java
+++ b/control/src/main/java/rv/control/Holder.java
@@ -117,7 +117,7 @@
     }
 
     private void tick() {
-        final Tenure.Body b = Tenure.Body.of(held.get(ItemId.TENURE));
+        final Leadership b = Leadership.of(held.get(ItemId.TENURE));
         if (b.term() > term) {
             term = b.term();
             boss = NodeId.of(b.holder());
--- a/control/src/main/java/rv/control/ItemService.java
+++ b/control/src/main/java/rv/control/ItemService.java
@@ -2,7 +2,6 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -28,36 +27,6 @@
     private final OriginAnnouncements announcements;
     private final Supplier<String> tags;
 
-    /** A status and the members of the JSON body that goes with it. */
-    public record ApiResult(int status, Map<String, Object> body) {
-        /** {@code pairs}: further members of the body, name and value in turn. */
-        public static ApiResult done(final Object... pairs) {
-            final Map<String, Object> body = map("fate", "done");
-            body.putAll(map(pairs));
-            return new ApiResult(200, body);
-        }
-
-        /** Nothing can be said for certain; the same again is welcome after {@code retryMs}. */
-        public static ApiResult unavailable(final String reason, final long retryMs) {
-            return new ApiResult(503, map("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
-        }
-
-        /** The number was taken with another body; {@code version} is the one that stands. */
-        public static ApiResult conflict(final ItemId item, final long version) {
-            return new ApiResult(
-                    409,
-                    map(
-                            "fate",
-                            "refused",
-                            "item",
-                            item.kind().word() + "/" + item.name(),
-                            "reason",
-                            "this version was taken with another body",
-                            "version",
-                            version));
-        }
-    }
-
     public ItemService(
             final Loop loop,
             final ItemStore held,
@@ -73,28 +42,6 @@
         this.tags = tags;
     }
 
-    static Map<String, Object> map(final Object... pairs) {
-        final Map<String, Object> map = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            map.put((String) pairs[i], pairs[i + 1]);
-        }
-        return map;
-    }
-
-    public static ApiResult faults(final List<Finding> list) {
-        return new ApiResult(
-                422,
-                map(
-                        "fate",
-                        "refused",
-                        "reason",
-                        "the statement has faults",
-                        "findings",
-                        list.stream()
-                                .map(f -> map("path", f.place(), "text", f.text()))
-                                .toList()));
-    }
-
     private static ApiResult late() {
         return ApiResult.unavailable("this node's frame is not confirmed", 1000);
     }
@@ -121,7 +68,7 @@
             } else if (again.faults().isEmpty()) {
                 accepted.accept(again.body());
             } else {
-                back.accept(faults(again.faults()));
+                back.accept(ApiResult.invalid(again.faults()));
             }
         });
     }
@@ -214,7 +161,7 @@
             case ACCEPTED ->
                 new ApiResult(
                         200,
-                        map(
+                        ApiResult.members(
                                 "fate",
                                 "done",
                                 "item",
@@ -224,7 +171,7 @@
             case CLASH ->
                 new ApiResult(
                         409,
-                        map(
+                        ApiResult.members(
                                 "fate",
                                 "refused",
                                 "item",
@@ -235,7 +182,9 @@
                                 r.item().ver().n()));
             case REJECTED -> ApiResult.unavailable("no majority of electors answered", 1000);
             case UNKNOWN ->
-                new ApiResult(504, map("fate", "unknown", "item", name, "reason", "no majority confirmed in time"));
+                new ApiResult(
+                        504,
+                        ApiResult.members("fate", "unknown", "item", name, "reason", "no majority confirmed in time"));
         };
     }
 
@@ -280,7 +229,9 @@
             final Consumer<ApiResult> back) {
         if (work.isEmpty()) {
             back.accept(new ApiResult(
-                    worst, map("fate", worst == 200 ? "done" : worst == 504 ? "unknown" : "refused", "items", done)));
+                    worst,
+                    ApiResult.members(
+                            "fate", worst == 200 ? "done" : worst == 504 ? "unknown" : "refused", "items", done)));
             return;
         }
         final ItemId id = work.get(0);
@@ -309,7 +260,7 @@
         if (i.ver().equals(Ver.ZERO) || i.gone()) {
             return new ApiResult(
                     404,
-                    map(
+                    ApiResult.members(
                             "item",
                             id.kind().word() + "/" + id.name(),
                             "version",
@@ -317,7 +268,7 @@
                             "state",
                             "absent"));
         }
-        final Map<String, Object> all = map(
+        final Map<String, Object> all = ApiResult.members(
                 "item",
                 id.kind().word() + "/" + id.name(),
                 "version",
@@ -328,7 +279,7 @@
                 Json.read(i.body(), Map.class));
         final List<Object> unfit = unfit().stream()
                 .filter(f -> f.place().startsWith(path(id) + "/"))
-                .<Object>map(f -> map("path", f.place(), "text", f.text()))
+                .<Object>map(f -> ApiResult.members("path", f.place(), "text", f.text()))
                 .toList();
         if (!unfit.isEmpty()) {
             all.put("findings", unfit);
@@ -348,9 +299,10 @@
         held.all().stream()
                 .map(rv.base.Msg.Chosen::item)
                 .filter(i -> i.id().kind() == kind && i.live())
-                .forEach(i ->
-                        all.put(i.id().name(), map("version", i.ver().n(), "body", Json.read(i.body(), Map.class))));
-        return new ApiResult(200, map("kind", kind.word(), "items", all));
+                .forEach(i -> all.put(
+                        i.id().name(),
+                        ApiResult.members("version", i.ver().n(), "body", Json.read(i.body(), Map.class))));
+        return new ApiResult(200, ApiResult.members("kind", kind.word(), "items", all));
     }
 
     public static byte[] bytes(final ApiResult s) {
--- a/control/src/main/java/rv/control/OrderLedger.java
+++ b/control/src/main/java/rv/control/OrderLedger.java
@@ -13,7 +13,6 @@
 import rv.base.Finding;
 import rv.base.Item;
 import rv.base.ItemId;
-import rv.base.Kind;
 
 /**
  * The value of the one register that decides operators' calls: for each item the numbers taken last and the digest of
@@ -21,7 +20,6 @@
  * register, or not at all. Immutable.
  */
 record OrderLedger(Map<ItemId, List<Taken>> taken, List<Map<ItemId, Patch.Part>> open) {
-    static final ItemId ID = new ItemId(Kind.LEDGER, "orders");
     /** In place of a digest where a number drops its item. */
     static final String DROPPED = "-";
     /** So many numbers are remembered for each item, the highest ones, and never fewer where there were more. */
--- a/control/src/main/java/rv/control/OrderSequencer.java
+++ b/control/src/main/java/rv/control/OrderSequencer.java
@@ -77,7 +77,7 @@
         final List<Job> batch = List.copyOf(waiting);
         waiting.clear();
         final String tag = tags.get();
-        writer.write(OrderLedger.ID, tag, SPAN, now -> Optional.of(next(now, batch, tag)), r -> {
+        writer.write(ItemId.LEDGER, tag, SPAN, now -> Optional.of(next(now, batch, tag)), r -> {
             busy = false;
             if (r.ok()) {
                 final OrderLedger chosen = OrderLedger.of(r.item());
@@ -151,7 +151,7 @@
 
     /** The ledger as this node has learned it. */
     private OrderLedger learned() {
-        final Item item = held.get(OrderLedger.ID);
+        final Item item = held.get(ItemId.LEDGER);
         if (item.ver().n() != known) {
             known = item.ver().n();
             seen = loop.now();
--- a/control/src/main/java/rv/control/Orders.java
+++ b/control/src/main/java/rv/control/Orders.java
@@ -65,15 +65,15 @@
         sequencer.start(rank);
     }
 
-    private static ItemService.ApiResult late(final String why) {
-        return ItemService.ApiResult.unavailable(why, RETRY);
+    private static ApiResult late(final String why) {
+        return ApiResult.unavailable(why, RETRY);
     }
 
     /**
      * 200 once every item of the call stands at a majority, synced; the same call again is 200 for as long as its numbers
      * are known. 409 where a number was taken with another body: nothing of the call has taken force, or ever will.
      */
-    public void patch(final byte[] data, final Consumer<ItemService.ApiResult> back) {
+    public void patch(final byte[] data, final Consumer<ApiResult> back) {
         if (!sync.fresh()) {
             back.accept(late("this node's frame is not confirmed"));
             return;
@@ -88,16 +88,16 @@
     }
 
     /** 422 after a majority has answered, so that a node that is cut off ends no order for good. */
-    public void invalid(final List<Finding> faults, final Consumer<ItemService.ApiResult> back) {
-        refuse(ItemService.faults(faults), back);
+    public void invalid(final List<Finding> faults, final Consumer<ApiResult> back) {
+        refuse(ApiResult.invalid(faults), back);
     }
 
-    public void refuse(final int status, final String why, final Consumer<ItemService.ApiResult> back) {
-        refuse(new ItemService.ApiResult(status, ItemService.map("fate", "refused", "reason", why)), back);
+    public void refuse(final int status, final String why, final Consumer<ApiResult> back) {
+        refuse(new ApiResult(status, ApiResult.members("fate", "refused", "reason", why)), back);
     }
 
     /** Says no for good, but only in contact with a majority. */
-    private void refuse(final ItemService.ApiResult no, final Consumer<ItemService.ApiResult> back) {
+    private void refuse(final ApiResult no, final Consumer<ApiResult> back) {
         if (sync.fresh()) {
             sync.after(loop.now(), CONTACT, ok -> back.accept(ok ? no : late("no majority answered")));
         } else {
@@ -105,12 +105,12 @@
         }
     }
 
-    private Consumer<ItemService.ApiResult> inContact(final Consumer<ItemService.ApiResult> back) {
+    private Consumer<ApiResult> inContact(final Consumer<ApiResult> back) {
         return AnswerDeadline.inContact(loop, sync, () -> late("no majority answered in time"), back);
     }
 
     /** At the preferred node, so that several calls are one write; where that one does not answer in time, here too. */
-    private void order(final Patch patch, final byte[] data, final Consumer<ItemService.ApiResult> back) {
+    private void order(final Patch patch, final byte[] data, final Consumer<ApiResult> back) {
         final Consumer<Judgement> then = AnswerDeadline.once(j -> decided(patch, j, back));
         final boolean[] here = {false};
         final Runnable local = () -> {
@@ -156,10 +156,10 @@
         return new Judgement(Verdict.valueOf(said.verdict()), said.item(), said.version(), said.findings());
     }
 
-    private void decided(final Patch patch, final Judgement j, final Consumer<ItemService.ApiResult> back) {
+    private void decided(final Patch patch, final Judgement j, final Consumer<ApiResult> back) {
         switch (j.verdict()) {
-            case STANDS -> back.accept(ItemService.ApiResult.done("items", standing(patch)));
-            case CONFLICT -> back.accept(ItemService.ApiResult.conflict(j.item(), j.version()));
+            case STANDS -> back.accept(ApiResult.done("items", standing(patch)));
+            case CONFLICT -> back.accept(ApiResult.conflict(j.item(), j.version()));
             case UNFIT -> unfit(patch, back);
             default -> back.accept(late("no majority confirmed every item"));
         }
@@ -175,7 +175,7 @@
     }
 
     /** What the call names may have been stated past the ledger, at another node: judged once more by a frame since. */
-    private void unfit(final Patch patch, final Consumer<ItemService.ApiResult> back) {
+    private void unfit(final Patch patch, final Consumer<ApiResult> back) {
         sync.after(loop.now(), CONTACT, ok -> {
             if (!ok) {
                 back.accept(late("no majority answered"));
@@ -183,7 +183,7 @@
             }
             sequencer.submit(patch, j -> {
                 if (j.verdict() == Verdict.UNFIT) {
-                    back.accept(ItemService.faults(j.findings()));
+                    back.accept(ApiResult.invalid(j.findings()));
                 } else {
                     decided(patch, j, back);
                 }
@@ -192,12 +192,12 @@
     }
 
     /** Of a host's path or of a tag; each order is a version of its own, so that what was filled since the last one goes too. */
-    public void purge(final Purge what, final Consumer<ItemService.ApiResult> back) {
+    public void purge(final Purge what, final Consumer<ApiResult> back) {
         if (!sync.fresh()) {
             back.accept(late("this node's frame is not confirmed"));
             return;
         }
-        final Consumer<ItemService.ApiResult> once = inContact(back);
+        final Consumer<ApiResult> once = inContact(back);
         final String name = (what.tag() != null ? "t." : "h.")
                 + Long.toHexString(Hash.mix(what.tag() != null ? what.tag() : what.host() + "|" + what.path()));
         final ItemId id = new ItemId(Kind.PURGE, name);
@@ -213,7 +213,7 @@
                 },
                 r -> once.accept(
                         r.ok()
-                                ? ItemService.ApiResult.done(
+                                ? ApiResult.done(
                                         "item",
                                         "purge/" + name,
                                         "version",
--- a/control/src/main/java/rv/control/OwnerChoice.java
+++ b/control/src/main/java/rv/control/OwnerChoice.java
@@ -6,10 +6,10 @@
 
 /** Which shield a shard goes to. Shards belong to places in turn; a place's shields hold its shards while there are any. */
 final class OwnerChoice {
-    private final Authority.Places places;
+    private final Places places;
     private final Membership members;
 
-    OwnerChoice(final Authority.Places places, final Membership members) {
+    OwnerChoice(final Places places, final Membership members) {
         this.places = places;
         this.members = members;
     }
--- /dev/null
+++ b/control/src/main/java/rv/control/Places.java
@@ -0,0 +1,8 @@
+package rv.control;
+
+/** The places that shards belong to. */
+public interface Places {
+    int at(String cell);
+
+    int count();
+}
--- a/control/src/main/java/rv/control/Registry.java
+++ b/control/src/main/java/rv/control/Registry.java
@@ -48,12 +48,12 @@
                 && old.cell().equals(said.cell());
     }
 
-    private static ItemService.ApiResult done(final String name) {
-        return ItemService.ApiResult.done("origin", name);
+    private static ApiResult done(final String name) {
+        return ApiResult.done("origin", name);
     }
 
-    private static ItemService.ApiResult late(final String why) {
-        return ItemService.ApiResult.unavailable(why, RETRY);
+    private static ApiResult late(final String why) {
+        return ApiResult.unavailable(why, RETRY);
     }
 
     private Optional<Origin> standing(final ItemId id) {
@@ -64,7 +64,7 @@
      * A beat; one that comes late, by its count, changes nothing, and one that has left does not come back. What tells
      * news is written; a leave that tells none is acknowledged in contact with a majority.
      */
-    public void beat(final String name, final Origin said, final Consumer<ItemService.ApiResult> back) {
+    public void beat(final String name, final Origin said, final Consumer<ApiResult> back) {
         if (!sync.fresh()) {
             back.accept(late("this node's frame is not confirmed"));
             return;
@@ -82,7 +82,7 @@
     }
 
     /** It has ended, or says so: the same as leaving, for good. Said again, at any node, it is acknowledged again. */
-    public void end(final String name, final Consumer<ItemService.ApiResult> back) {
+    public void end(final String name, final Consumer<ApiResult> back) {
         final ItemId id = new ItemId(Kind.ORIGIN, name);
         heard.remove(id);
         if (standing(id).filter(o -> !o.leaving()).isPresent() && sync.fresh()) {
@@ -93,7 +93,7 @@
     }
 
     /** Goes on once a majority has confirmed this node's frame for a moment after now. */
-    private void confirmed(final Runnable then, final Consumer<ItemService.ApiResult> back) {
+    private void confirmed(final Runnable then, final Consumer<ApiResult> back) {
         if (!sync.fresh()) {
             back.accept(late("this node's frame is not confirmed"));
             return;
@@ -107,14 +107,14 @@
         });
     }
 
-    private void leave(final ItemId id, final Consumer<ItemService.ApiResult> back) {
+    private void leave(final ItemId id, final Consumer<ApiResult> back) {
         standing(id)
                 .filter(o -> !o.leaving())
                 .ifPresentOrElse(o -> write(id, o.left(), back), () -> back.accept(done(id.name())));
     }
 
-    private void write(final ItemId id, final Origin said, final Consumer<ItemService.ApiResult> back) {
-        final Consumer<ItemService.ApiResult> once =
+    private void write(final ItemId id, final Origin said, final Consumer<ApiResult> back) {
+        final Consumer<ApiResult> once =
                 AnswerDeadline.inContact(loop, sync, () -> late("no majority confirmed it in time"), back);
         final String tag = tags.get();
         writer.write(
--- a/control/src/main/java/rv/control/Tenure.java
+++ b/control/src/main/java/rv/control/Tenure.java
@@ -35,22 +35,6 @@
     private boolean mine;
     private boolean quit;
 
-    public record Body(
-            String holder, String boot, long term, long beat, boolean free, long lives, long reign, long slack) {
-        /** A body of a version that did not state its duration had the shards' lease. */
-        long reign(final Timing t) {
-            return reign > 0 ? reign : t.d();
-        }
-
-        long slack(final Timing t) {
-            return reign > 0 ? slack : t.m();
-        }
-
-        public static Body of(final Item item) {
-            return item.live() ? Json.read(item.body(), Body.class) : new Body("", "", 0, 0, true, 0, 0, 0);
-        }
-    }
-
     /** {@code last}: the last instant, on this clock, at which the old authority could have granted; {@code wary}: terms leapt. */
     @FunctionalInterface
     public interface Won {
@@ -135,7 +119,7 @@
             final long span,
             final java.util.function.Consumer<Writer.Result> then) {
         final Item seen = held.get(ItemId.TENURE);
-        final Body old = Body.of(seen);
+        final Leadership old = Leadership.of(seen);
         final boolean renewal = next == term;
         final String tag = self + "-" + boot + "-" + next + "-" + ++serial;
         writer.write(
@@ -143,13 +127,13 @@
                 tag,
                 span,
                 now -> {
-                    final Body b = Body.of(now);
+                    final Leadership b = Leadership.of(now);
                     final boolean same = renewal
                             ? b.term() == next && b.boot().equals(boot) && lives.getAsLong() <= b.lives()
                             : now.ver().equals(seen.ver());
                     return same
                             ? Optional.of(now.next(
-                                    Json.text(new Body(
+                                    Json.text(new Leadership(
                                             self.text(),
                                             boot,
                                             next,
@@ -174,7 +158,7 @@
             return;
         }
         final Item seen = held.get(ItemId.TENURE);
-        final Body b = Body.of(seen);
+        final Leadership b = Leadership.of(seen);
         final long at = held.since(ItemId.TENURE);
         final long now = loop.now();
         final boolean own = b.holder().equals(self.text());
@@ -186,7 +170,7 @@
         take(seen, b, last);
     }
 
-    private void take(final Item seen, final Body b, final long last) {
+    private void take(final Item seen, final Leadership b, final long last) {
         busy = true;
         final long sent = loop.now();
         final boolean wary = lives.getAsLong() > b.lives();
--- a/control/src/main/java/rv/control/Writer.java
+++ b/control/src/main/java/rv/control/Writer.java
@@ -27,7 +27,7 @@
     /** Two that keep overtaking each other must draw from more than a round takes, at most so long. */
     private static final long WAIT = 400;
 
-    private static final Set<ItemId> KEPT = Set.of(ItemId.TENURE, ItemId.PLAN, OrderLedger.ID);
+    private static final Set<ItemId> KEPT = Set.of(ItemId.TENURE, ItemId.PLAN, ItemId.LEDGER);
     private final Electorate electorate;
     private final Loop loop;
     private final Net net;
--- a/control/src/test/java/rv/control/ClerkTest.java
+++ b/control/src/test/java/rv/control/ClerkTest.java
@@ -14,16 +14,16 @@
 class ClerkTest {
     private final Voters net = new Voters();
     private final ItemService clerk = new ItemService(net.loop, net.held, net.sync, net.writer, net.journal, net::tag);
-    private final List<ItemService.ApiResult> said = new ArrayList<>();
+    private final List<ApiResult> said = new ArrayList<>();
 
-    private ItemService.ApiResult put(final Kind kind, final String name, final String body, final long version) {
+    private ApiResult put(final Kind kind, final String name, final String body, final long version) {
         said.clear();
         clerk.put(new ItemId(kind, name), body.getBytes(StandardCharsets.UTF_8), version, null, said::add);
         net.loop.run(100);
         return said.get(0);
     }
 
-    private ItemService.ApiResult announce(final String kind) {
+    private ApiResult announce(final String kind) {
         said.clear();
         clerk.announce(
                 "o1",
--- a/control/src/test/java/rv/control/OrderCluster.java
+++ b/control/src/test/java/rv/control/OrderCluster.java
@@ -152,7 +152,7 @@
         private final Orders orders;
         private final Registry registry;
         private final Voter voter;
-        private final FrameSync.Desk desk;
+        private final ViewServer desk;
         private final WriteRecovery recovery;
         private boolean alive = true;
         private int left = Integer.MAX_VALUE;
@@ -199,7 +199,7 @@
                     () -> id + name + "-" + ++tags[0],
                     () -> preferred.filter(p -> !p.equals(id)));
             registry = new Registry(this, held, sync, writer, journal, () -> id + name + "-" + ++tags[0]);
-            desk = voter == null ? null : new FrameSync.Desk(voter, held, this);
+            desk = voter == null ? null : new ViewServer(voter, held, this);
             recovery = voter == null
                     ? null
                     : new WriteRecovery(
--- a/control/src/test/java/rv/control/OrderContactTest.java
+++ b/control/src/test/java/rv/control/OrderContactTest.java
@@ -62,7 +62,7 @@
                                         version)))));
     }
 
-    private Consumer<ItemService.ApiResult> expect(final String what, final Consumer<ItemService.ApiResult> check) {
+    private Consumer<ApiResult> expect(final String what, final Consumer<ApiResult> check) {
         final long asked = net.loop.now();
         return r -> {
             answers++;
@@ -128,9 +128,9 @@
     }
 
     private Consumer<Optional<Map<Kind, Map<String, Item>>>> expectWhole(final long stood) {
-        final Consumer<ItemService.ApiResult> check = expect("a read", r -> {});
+        final Consumer<ApiResult> check = expect("a read", r -> {});
         return all -> {
-            check.accept(new ItemService.ApiResult(all.isPresent() ? 200 : 503, Map.of("retryAfterMs", 1)));
+            check.accept(new ApiResult(all.isPresent() ? 200 : 503, Map.of("retryAfterMs", 1)));
             all.ifPresent(m ->
                     must(m.get(Kind.SERVICE).get("moving").ver().n() >= stood, "an old configuration, older than", (int)
                             stood));
--- a/control/src/test/java/rv/control/OrderRaceTest.java
+++ b/control/src/test/java/rv/control/OrderRaceTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import rv.base.Item;
+import rv.base.ItemId;
 import rv.base.NodeId;
 
 /** One number, one body, whoever ends on the way; a call is in force whole or not at all. */
@@ -101,7 +102,7 @@
             c.send(n(v % 5));
             net.loop.run(600);
             assertEquals(200, c.status);
-            final int size = net.item(n(0), OrderLedger.ID).body().length();
+            final int size = net.item(n(0), ItemId.LEDGER).body().length();
             after = v == 160 ? size : after;
             assertTrue(v <= 160 || size <= after + 100, "after " + v + " calls " + size + " bytes, after 160 " + after);
         }
--- a/control/src/test/java/rv/control/OrdersTest.java
+++ b/control/src/test/java/rv/control/OrdersTest.java
@@ -23,7 +23,7 @@
             "{\"set\":{\"services\":{\"s\":{\"kind\":\"open\",\"note\":\"%s\",\"version\":%d}}}}";
     private final Voters net = new Voters();
     private final Orders orders = new Orders(net.loop, net, net.held, net.sync, net.writer, net::tag, Optional::empty);
-    private final List<ItemService.ApiResult> said = new ArrayList<>();
+    private final List<ApiResult> said = new ArrayList<>();
 
     private int patch(final String text, final long ms) {
         said.clear();
--- a/control/src/test/java/rv/control/RegistryTest.java
+++ b/control/src/test/java/rv/control/RegistryTest.java
@@ -16,7 +16,7 @@
     private static final ItemId ID = new ItemId(Kind.ORIGIN, "i1");
     private final Voters net = new Voters();
     private final Registry registry = new Registry(net.loop, net.held, net.sync, net.writer, net.journal, net::tag);
-    private final List<ItemService.ApiResult> said = new ArrayList<>();
+    private final List<ApiResult> said = new ArrayList<>();
 
     private static Origin at(final long beat, final boolean leaving, final int slots, final long cold) {
         return new Origin("s", "10.0.0.1", 80, "i1", "open", 0, 0, leaving, beat, "r/z", slots, cold);
@@ -91,7 +91,6 @@
         said.clear();
         registry.beat("i1", at(1, true, 4, 0), said::add);
         net.loop.run(2000);
-        assertEquals(
-                List.of(503), said.stream().map(ItemService.ApiResult::status).toList());
+        assertEquals(List.of(503), said.stream().map(ApiResult::status).toList());
     }
 }
--- a/control/src/test/java/rv/control/StoredFormatTest.java
+++ b/control/src/test/java/rv/control/StoredFormatTest.java
@@ -64,7 +64,7 @@
             "plan",
             Plan.class,
             "tenure",
-            Tenure.Body.class,
+            Leadership.class,
             "voters",
             VoterSet.class,
             "sweep",
--- a/control/src/test/java/rv/control/ViewTest.java
+++ b/control/src/test/java/rv/control/ViewTest.java
@@ -35,7 +35,7 @@
     }
 
     private String at(final String host, final String path) {
-        return view.route(host, path).map(ConfigView.Row::name).orElse("none");
+        return view.route(host, path).map(ConfiguredRoute::name).orElse("none");
     }
 
     @Test
@@ -79,7 +79,7 @@
     void aPurgeOfAHostsPathMarksThatPathOnly() {
         service("s");
         route("r", "h", "/", "s");
-        final ConfigView.Row row = view.route("h", "/x").orElseThrow();
+        final ConfiguredRoute row = view.route("h", "/x").orElseThrow();
         final Mark none = view.mark(row, "/x");
         purge("h.1", 4, new Purge(null, "/x", null, "h", null));
         assertEquals(Map.of("p/h.1", 4L), view.mark(row, "/x").vers());
--- a/data/src/main/java/rv/data/Edge.java
+++ b/data/src/main/java/rv/data/Edge.java
@@ -13,6 +13,7 @@
 import rv.base.NodeId;
 import rv.base.Token;
 import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.Limits;
 import rv.control.Match;
 
@@ -77,7 +78,7 @@
         SEND
     }
 
-    static List<Step> compile(final ConfigView.Row row) {
+    static List<Step> compile(final ConfiguredRoute row) {
         final List<Step> list = new ArrayList<>(List.of(Step.METHOD, Step.SIZE));
         if (row.rule().isPresent()) {
             list.add(Step.RULE);
@@ -127,7 +128,7 @@
             then.accept(Answer.reject(503, "too many requests wait here", 1000));
             return;
         }
-        final ConfigView.Row row = view.route(ask.host(), ask.path()).orElse(null);
+        final ConfiguredRoute row = view.route(ask.host(), ask.path()).orElse(null);
         if (row == null) {
             then.accept(
                     fresh.getAsBoolean()
--- a/data/src/main/java/rv/data/EdgeRequest.java
+++ b/data/src/main/java/rv/data/EdgeRequest.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 import rv.base.Mark;
 import rv.base.Msg;
-import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.Match;
 
 /** One request at an edge: the steps of its route, one by one until one answers, and what it shares with others. */
 final class EdgeRequest {
     private final Edge edge;
     private final ClientRequest ask;
-    private final ConfigView.Row row;
+    private final ConfiguredRoute row;
     private final Consumer<Answer> then;
     private final String key;
     private final long cutoff;
@@ -26,12 +26,12 @@
     private CacheFlight lead;
     private boolean over;
 
-    EdgeRequest(final Edge edge, final ClientRequest ask, final ConfigView.Row row, final Consumer<Answer> then) {
+    EdgeRequest(final Edge edge, final ClientRequest ask, final ConfiguredRoute row, final Consumer<Answer> then) {
         this.edge = edge;
         this.ask = row.match().is(Match.CACHED) && ask.method().equals("GET") ? ask.shared() : ask;
         this.row = row;
         this.then = then;
-        this.key = EdgeRouting.slot(row, ask.path(), null);
+        this.key = ShardRouting.slot(row, ask.path(), null);
         this.mark = edge.view().mark(row, ask.path());
         final boolean told = ask.spanMs() > 0;
         this.margin = told ? 20 : 300;
@@ -48,7 +48,7 @@
         return ask;
     }
 
-    ConfigView.Row row() {
+    ConfiguredRoute row() {
         return row;
     }
 
@@ -222,7 +222,7 @@
                 CachedCopy.bare(f.mark()),
                 CachedCopy.tags(f.mark()),
                 f.service());
-        final ConfigView.Row now = edge.view().named(row.name()).orElse(null);
+        final ConfiguredRoute now = edge.view().named(row.name()).orElse(null);
         final Mark want = now == null ? null : edge.view().mark(now, ask.path());
         if (want == null || !f.mark().covers(want) || !edge.view().clean(c.tags())) {
             return false;
--- a/data/src/main/java/rv/data/KeyedRequests.java
+++ b/data/src/main/java/rv/data/KeyedRequests.java
@@ -227,7 +227,7 @@
         final Port.Got got = sent.got();
         if (got.end() == Port.End.WHOLE) {
             e.clear = false;
-            e.outcome = new Msg.Outcome(got.status(), Shield.pass(got.heads()), got.body(), true);
+            e.outcome = new Msg.Outcome(got.status(), EndToEndHeaders.of(got.heads()), got.body(), true);
             keep(shard, note(shard, key, e, false), OUTCOME_WAIT, ok -> {
                 e.busy = false;
                 e.answer(done(shard, e.outcome));
--- a/data/src/main/java/rv/data/MessageRouter.java
+++ b/data/src/main/java/rv/data/MessageRouter.java
@@ -4,12 +4,12 @@
 import rv.base.Msg;
 import rv.base.NodeId;
 import rv.control.Authority;
-import rv.control.FrameSync;
+import rv.control.ViewServer;
 
 /** Brings each message to the part of the node that it is for. */
 final class MessageRouter {
     private final Node node;
-    private final FrameSync.Desk desk;
+    private final ViewServer desk;
     private final Authority authority;
     private final Sender sender;
     private final Shield shield;
@@ -17,7 +17,7 @@
 
     MessageRouter(
             final Node node,
-            final FrameSync.Desk desk,
+            final ViewServer desk,
             final Authority authority,
             final Sender sender,
             final Shield shield,
--- a/data/src/main/java/rv/data/Setup.java
+++ b/data/src/main/java/rv/data/Setup.java
@@ -8,7 +8,7 @@
 import rv.base.NodeId;
 import rv.base.Role;
 import rv.base.Timing;
-import rv.control.Authority;
+import rv.control.Places;
 import rv.control.Quorum;
 import rv.control.RecordRetention;
 
@@ -24,7 +24,7 @@
         AtomicReference<LiveSettings> live,
         Msg.Chosen voters,
         long keyWindowMs)
-        implements Authority.Places {
+        implements Places {
 
     public Timing timing() {
         return live.get().timing();
--- a/data/src/main/java/rv/data/Shield.java
+++ b/data/src/main/java/rv/data/Shield.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -16,6 +15,7 @@
 import rv.base.NodeId;
 import rv.base.Token;
 import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.Holder;
 import rv.control.Match;
 
@@ -52,20 +52,6 @@
     /** A request as an edge asked it, with the attempts that this node may make for it. */
     private record Call(Msg.Fill fill, AttemptAllowance attempts) {}
 
-    /** Headers that concern one connection, or that say what another member says already. */
-    private static final Set<String> HOPS = Set.of(
-            "connection",
-            "keep-alive",
-            "transfer-encoding",
-            "content-length",
-            "te",
-            "trailer",
-            "upgrade",
-            "proxy-connection",
-            "date",
-            "server",
-            AnswerCheck.SERVICE);
-
     public Shield(
             final Loop loop,
             final Net net,
@@ -89,12 +75,6 @@
         this.cache = new Cache(room, c -> view.clean(c.tags()));
     }
 
-    static Map<String, String> pass(final Map<String, String> heads) {
-        final Map<String, String> map = new TreeMap<>(heads);
-        map.keySet().removeAll(HOPS);
-        return map;
-    }
-
     private Msg.Filled reject(final Msg.Fill f, final int status, final String why, final long retry) {
         return KeyedRequests.say(Answer.REFUSED, status, why, holder.token(f.shard()), retry);
     }
@@ -137,7 +117,7 @@
 
     private void take(final Call call, final long cutoff, final long patience, final Consumer<Msg.Filled> back) {
         final Msg.Fill f = call.fill();
-        final ConfigView.Row row = view.named(f.route()).orElse(null);
+        final ConfiguredRoute row = view.named(f.route()).orElse(null);
         final Mark mark = row == null ? null : view.mark(row, f.path());
         if (row == null || f.mark() != null && !mark.covers(f.mark())) {
             if (loop.now() >= patience) {
@@ -151,7 +131,7 @@
         if (f.pass()) {
             loose(call, row, cutoff, back);
         } else if (f.shard()
-                != EdgeRouting.shard(
+                != ShardRouting.shard(
                         row,
                         f.path(),
                         f.key(),
@@ -174,7 +154,7 @@
     }
 
     /** What needs no right to fill, or is passed through unkept while nobody has the right. */
-    private void loose(final Call call, final ConfigView.Row row, final long cutoff, final Consumer<Msg.Filled> back) {
+    private void loose(final Call call, final ConfiguredRoute row, final long cutoff, final Consumer<Msg.Filled> back) {
         final Msg.Fill f = call.fill();
         if (!row.match().any() || row.match().is(Match.ONCE)) {
             back.accept(reject(f, 503, "this route needs the right to fill", 500));
@@ -188,11 +168,19 @@
 
     private Msg.Filled whole(final Msg.Fill f, final Port.Got got) {
         return new Msg.Filled(
-                Answer.DONE, "", got.status(), holder.token(f.shard()), pass(got.heads()), got.body(), 0, null, 0);
+                Answer.DONE,
+                "",
+                got.status(),
+                holder.token(f.shard()),
+                EndToEndHeaders.of(got.heads()),
+                got.body(),
+                0,
+                null,
+                0);
     }
 
     private OriginRequest order(
-            final Call call, final ConfigView.Row row, final int shard, final boolean once, final long cutoff) {
+            final Call call, final ConfiguredRoute row, final int shard, final boolean once, final long cutoff) {
         final Msg.Fill f = call.fill();
         final String to =
                 row.match().pick(Hash.mix(f.id() == null || f.id().isEmpty() ? f.path() + f.serial() : f.id()));
@@ -225,12 +213,12 @@
 
     private void cached(
             final Call call,
-            final ConfigView.Row row,
+            final ConfiguredRoute row,
             final Mark mark,
             final long cutoff,
             final Consumer<Msg.Filled> back) {
         final Msg.Fill f = call.fill();
-        final String key = EdgeRouting.slot(row, f.path(), null);
+        final String key = ShardRouting.slot(row, f.path(), null);
         final CachedCopy c = holder.serves(f.shard()) ? copy(f, key, mark) : null;
         if (c != null && c.of(row.match())) {
             back.accept(give(f, c));
@@ -265,7 +253,7 @@
 
     private void filled(
             final String key,
-            final ConfigView.Row row,
+            final ConfiguredRoute row,
             final Flight flight,
             final String service,
             final Sender.Sent sent) {
@@ -279,14 +267,14 @@
         final boolean clean = got.tags().stream().allMatch(t -> view.tagged(t).at() < sent.at());
         final CachedCopy copy = new CachedCopy(
                 got.status(),
-                pass(got.heads()),
+                EndToEndHeaders.of(got.heads()),
                 got.body(),
                 sent.at(),
                 row.match().lifetimeMs(),
                 flight.mark(),
                 tags,
                 service);
-        final ConfigView.Row now = view.named(row.name()).orElse(null);
+        final ConfiguredRoute now = view.named(row.name()).orElse(null);
         final boolean same = clean
                 && now != null
                 && now.match().services().contains(service)
@@ -326,7 +314,7 @@
     }
 
     private void through(
-            final Call call, final ConfigView.Row row, final long cutoff, final Consumer<Msg.Filled> back) {
+            final Call call, final ConfiguredRoute row, final long cutoff, final Consumer<Msg.Filled> back) {
         final Msg.Fill f = call.fill();
         if (may(f, back)) {
             sender.send(
@@ -335,7 +323,7 @@
         }
     }
 
-    private void keyed(final Call call, final ConfigView.Row row, final long cutoff, final Consumer<Msg.Filled> back) {
+    private void keyed(final Call call, final ConfiguredRoute row, final long cutoff, final Consumer<Msg.Filled> back) {
         final Msg.Fill f = call.fill();
         if (f.key() == null) {
             back.accept(reject(f, 400, "a keyed request lacks its key", 0));
@@ -345,7 +333,7 @@
                     f.shard(),
                     row.match().host().isEmpty()
                             ? row.name() + "|" + row.match().service() + "|" + f.key()
-                            : EdgeRouting.slot(row, f.path(), f.key()),
+                            : ShardRouting.slot(row, f.path(), f.key()),
                     Hash.digest(
                             (f.path() + "\n" + Hash.digest(body)).getBytes(java.nio.charset.StandardCharsets.UTF_8)),
                     Math.min(KEYED_PATIENCE, Math.max(0, cutoff - loop.now()) / 2),
--- a/data/src/main/java/rv/data/ShieldForwarding.java
+++ b/data/src/main/java/rv/data/ShieldForwarding.java
@@ -10,7 +10,7 @@
 import rv.base.Msg;
 import rv.base.NodeId;
 import rv.base.Reply;
-import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.Match;
 import rv.control.Plan;
 
@@ -33,7 +33,7 @@
     private final Edge edge;
     private final EdgeRequest request;
     private final ClientRequest ask;
-    private final ConfigView.Row row;
+    private final ConfiguredRoute row;
     private final long cutoff;
     private final long margin;
     private final RequestAttempts attempts;
@@ -117,7 +117,7 @@
             finish(last);
             return;
         }
-        final int shard = EdgeRouting.shard(
+        final int shard = ShardRouting.shard(
                 row,
                 ask.path(),
                 ask.key(),
@@ -246,7 +246,8 @@
     }
 
     private static Msg.Filled whole(final Port.Got got) {
-        return new Msg.Filled(Answer.DONE, "", got.status(), null, Shield.pass(got.heads()), got.body(), 0, null, 0);
+        return new Msg.Filled(
+                Answer.DONE, "", got.status(), null, EndToEndHeaders.of(got.heads()), got.body(), 0, null, 0);
     }
 
     /** The answer of a shield that was asked to pass it through. */
--- a/data/src/main/java/rv/data/StatusReport.java
+++ b/data/src/main/java/rv/data/StatusReport.java
@@ -12,8 +12,8 @@
 import rv.base.NodeId;
 import rv.base.Role;
 import rv.control.Json;
+import rv.control.Leadership;
 import rv.control.Origin;
-import rv.control.Tenure;
 
 /** What one node believes, as JSON, for operators and for the comparison of two nodes. */
 public final class StatusReport {
@@ -32,7 +32,7 @@
                     "gone",
                     i.gone(),
                     "condition",
-                    node.condition().name()));
+                    node.condition().code()));
         }
         return Json.text(all());
     }
@@ -63,7 +63,7 @@
         map.put("cell", node.setup().self().cell());
         map.put("boot", node.setup().self().boot());
         map.put("version", node.setup().self().version());
-        map.put("condition", node.condition().name());
+        map.put("condition", node.condition().code());
         map.put("grade", node.grade());
         map.put("frameAgeMs", node.sync().fresh() ? node.sync().age() : -1);
         map.put("driftMs", node.drift().worst());
@@ -73,7 +73,7 @@
         final Map<String, Object> members = new TreeMap<>();
         node.roster()
                 .live()
-                .forEach(m -> members.put(m.id().text(), m.condition().name()));
+                .forEach(m -> members.put(m.id().text(), m.condition().code()));
         map.put("members", members);
         map.put("findings", node.clerk().unfit().stream().map(Object::toString).toList());
         final Map<String, Object> items = new TreeMap<>();
@@ -82,7 +82,7 @@
                 .forEach(i -> items.put(
                         i.id().kind().word() + "/" + i.id().name(), i.ver().n()));
         map.put("items", items);
-        final Tenure.Body t = Tenure.Body.of(node.held().get(ItemId.TENURE));
+        final Leadership t = Leadership.of(node.held().get(ItemId.TENURE));
         map.put("tenure", Map.of("holder", t.holder(), "term", t.term(), "free", t.free()));
         map.put("planEpoch", node.view().plan().epoch());
         final Map<String, Object> plan = new TreeMap<>();
--- a/data/src/main/java/rv/data/VoterLinks.java
+++ b/data/src/main/java/rv/data/VoterLinks.java
@@ -10,8 +10,8 @@
 import rv.base.NodeId;
 import rv.base.Role;
 import rv.control.Electorate;
+import rv.control.Leadership;
 import rv.control.Membership;
-import rv.control.Tenure;
 import rv.control.Voter;
 import rv.control.VoterAddress;
 import rv.control.VoterSearch;
@@ -62,7 +62,7 @@
 
     /** The lease authority puts operators' calls in order, so that several at once are one write of the ledger. */
     Optional<NodeId> sequencer(final Item tenure) {
-        final Tenure.Body now = Tenure.Body.of(tenure);
+        final Leadership now = Leadership.of(tenure);
         if (now.holder().isEmpty() || now.free()) {
             return Optional.empty();
         }
--- a/data/src/main/java/rv/data/VoterParts.java
+++ b/data/src/main/java/rv/data/VoterParts.java
@@ -6,12 +6,12 @@
 import rv.base.NodeId;
 import rv.control.ConfigView;
 import rv.control.Electorate;
-import rv.control.FrameSync;
 import rv.control.ItemStore;
 import rv.control.KeyRecordStore;
 import rv.control.Membership;
 import rv.control.MonitoredDisk;
 import rv.control.RecordRetention;
+import rv.control.ViewServer;
 import rv.control.Voter;
 import rv.control.WriteRecovery;
 import rv.control.Writer;
@@ -24,7 +24,7 @@
     private final Voter voter;
     private final KeyRecordStore records;
     private final WriteRecovery recovery;
-    private final FrameSync.Desk desk;
+    private final ViewServer desk;
 
     VoterParts(
             final Setup setup,
@@ -59,7 +59,7 @@
                 loop,
                 seams.dice(),
                 () -> electorate.voters().indexOf(self));
-        desk = new FrameSync.Desk(voter, items, loop);
+        desk = new ViewServer(voter, items, loop);
     }
 
     void start() throws DiskTrouble {
@@ -80,7 +80,7 @@
         return records;
     }
 
-    FrameSync.Desk desk() {
+    ViewServer desk() {
         return desk;
     }
 }
--- a/data/src/test/java/rv/data/KeyedRequestsTest.java
+++ b/data/src/test/java/rv/data/KeyedRequestsTest.java
@@ -23,8 +23,8 @@
 import rv.control.Holder;
 import rv.control.ItemStore;
 import rv.control.Json;
+import rv.control.Leadership;
 import rv.control.StoreHealth;
-import rv.control.Tenure;
 import rv.control.VoterAddress;
 import rv.control.VoterSet;
 
@@ -65,7 +65,7 @@
         h.start();
         held.merge(new Msg.Chosen(
                 new Ballot(1, "x"),
-                Item.none(ItemId.TENURE).next(Json.text(new Tenure.Body("boss", "b", 1, 1, false, 0, 0, 0)), "t")));
+                Item.none(ItemId.TENURE).next(Json.text(new Leadership("boss", "b", 1, 1, false, 0, 0, 0)), "t")));
         keepers.loop.run(100);
         h.place(BOSS, new Msg.Place(1, 1, List.of(new Msg.Claim(SHARD, TOKEN, "GRANTED"))), m -> {});
         return h;
--- a/data/src/test/java/rv/data/ShieldTest.java
+++ b/data/src/test/java/rv/data/ShieldTest.java
@@ -66,7 +66,7 @@
     }
 
     private void ask(final Mark mark, final boolean pass, final Integer attempts) {
-        final int shard = EdgeRouting.shard(view.named("r").orElseThrow(), "/x", null, setup.shards(), 1, 0);
+        final int shard = ShardRouting.shard(view.named("r").orElseThrow(), "/x", null, setup.shards(), 1, 0);
         shield.take(
                 EDGE,
                 new Msg.Fill(
--- a/data/src/test/java/rv/data/WayTest.java
+++ b/data/src/test/java/rv/data/WayTest.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.Match;
 
 class WayTest {
-    private static ConfigView.Row row(final String host, final String mode) {
-        return new ConfigView.Row(
+    private static ConfiguredRoute row(final String host, final String mode) {
+        return new ConfiguredRoute(
                 "r",
                 new Match("/", "s", mode, 1000, true, "", host, List.of(), true, 0, 0, 0, 3, ""),
                 null,
@@ -25,13 +25,13 @@
         final Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 500; i++) {
             for (int place = 0; place < 3; place++) {
-                final int shard = EdgeRouting.shard(row("h", Match.CACHED), "/" + i, null, 32, 3, place);
+                final int shard = ShardRouting.shard(row("h", Match.CACHED), "/" + i, null, 32, 3, place);
                 assertEquals(place, shard % 3);
                 assertTrue(shard < 32);
                 seen.add(shard);
                 assertEquals(
-                        EdgeRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, 0),
-                        EdgeRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, place));
+                        ShardRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, 0),
+                        ShardRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, place));
             }
         }
         assertEquals(30, seen.size(), "the shards of each place");
@@ -40,10 +40,10 @@
     @Test
     void oneKeyIsOneOperationWhateverItsPathAndRoute() {
         assertEquals(
-                EdgeRouting.slot(row("h", Match.ONCE), "/x", "k"), EdgeRouting.slot(row("h", Match.ONCE), "/y", "k"));
-        assertTrue(!EdgeRouting.slot(row("h", Match.ONCE), "/x", "k")
-                .equals(EdgeRouting.slot(row("i", Match.ONCE), "/x", "k")));
-        assertTrue(!EdgeRouting.slot(row("h", Match.CACHED), "/x", "k")
-                .equals(EdgeRouting.slot(row("h", Match.CACHED), "/y", "k")));
+                ShardRouting.slot(row("h", Match.ONCE), "/x", "k"), ShardRouting.slot(row("h", Match.ONCE), "/y", "k"));
+        assertTrue(!ShardRouting.slot(row("h", Match.ONCE), "/x", "k")
+                .equals(ShardRouting.slot(row("i", Match.ONCE), "/x", "k")));
+        assertTrue(!ShardRouting.slot(row("h", Match.CACHED), "/x", "k")
+                .equals(ShardRouting.slot(row("h", Match.CACHED), "/y", "k")));
     }
 }
--- a/prog/src/main/java/rv/prog/Api.java
+++ b/prog/src/main/java/rv/prog/Api.java
@@ -21,8 +21,8 @@
 import rv.base.Msg;
 import rv.base.Net;
 import rv.base.NodeId;
+import rv.control.ApiResult;
 import rv.control.Config;
-import rv.control.ItemService;
 import rv.control.Json;
 import rv.data.Node;
 import rv.data.StatusReport;
@@ -53,8 +53,7 @@
                 send(
                         res,
                         done,
-                        new ItemService.ApiResult(
-                                413, Map.of("fate", "refused", "reason", "body over the limit or cut short")));
+                        new ApiResult(413, Map.of("fate", "refused", "reason", "body over the limit or cut short")));
                 return;
             }
             final Call call;
@@ -64,16 +63,14 @@
                 send(
                         res,
                         done,
-                        new ItemService.ApiResult(
-                                400, Map.of("fate", "refused", "reason", "If-Match must be a version number")));
+                        new ApiResult(400, Map.of("fate", "refused", "reason", "If-Match must be a version number")));
                 return;
             }
             if (!loop.offer(() -> serve(call, s -> send(res, done, s)))) {
                 send(
                         res,
                         done,
-                        new ItemService.ApiResult(
-                                503, Map.of("fate", "refused", "reason", "ring full", "retryAfterMs", 1000)));
+                        new ApiResult(503, Map.of("fate", "refused", "reason", "ring full", "retryAfterMs", 1000)));
             }
         });
         return true;
@@ -94,7 +91,7 @@
                 Request.extractQueryParameters(req));
     }
 
-    private static void send(final Response res, final Callback done, final ItemService.ApiResult s) {
+    private static void send(final Response res, final Callback done, final ApiResult s) {
         res.setStatus(s.status());
         res.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         if (s.body().get("retryAfterMs") instanceof Number n) {
@@ -106,21 +103,21 @@
         res.write(true, ByteBuffer.wrap((Json.text(s.body()) + "\n").getBytes(StandardCharsets.UTF_8)), done);
     }
 
-    private static ItemService.ApiResult none() {
-        return new ItemService.ApiResult(404, Map.of("fate", "refused", "reason", "nothing is here"));
+    private static ApiResult none() {
+        return new ApiResult(404, Map.of("fate", "refused", "reason", "nothing is here"));
     }
 
-    private void serve(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void serve(final Call c, final Consumer<ApiResult> back) {
         if (!c.at(0).equals("v1")) {
             back.accept(none());
             return;
         }
         switch (c.at(1)) {
-            case "live" -> back.accept(new ItemService.ApiResult(200, Map.of("live", true)));
+            case "live" -> back.accept(new ApiResult(200, Map.of("live", true)));
             case "ready" -> back.accept(ready());
             case "state" -> state(c, back);
             case "journal" ->
-                back.accept(new ItemService.ApiResult(
+                back.accept(new ApiResult(
                         200,
                         Map.of(
                                 "events",
@@ -140,20 +137,20 @@
         }
     }
 
-    private ItemService.ApiResult ready() {
+    private ApiResult ready() {
         final int grade = node.grade();
-        return new ItemService.ApiResult(
+        return new ApiResult(
                 grade > 0 ? 200 : 503,
-                Map.of("grade", grade, "condition", node.condition().name()));
+                Map.of("grade", grade, "condition", node.condition().code()));
     }
 
-    private void state(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void state(final Call c, final Consumer<ApiResult> back) {
         if (c.at(2).isEmpty() || c.at(2).equals(node.setup().self().id().text())) {
-            back.accept(new ItemService.ApiResult(200, new StatusReport(node).all()));
+            back.accept(new ApiResult(200, new StatusReport(node).all()));
             return;
         }
         if (!c.at(2).matches("[a-z0-9][a-z0-9-]{0,40}") || node.roster().get(NodeId.of(c.at(2))) == null) {
-            back.accept(new ItemService.ApiResult(404, Map.of("reason", "no node is known as " + c.at(2))));
+            back.accept(new ApiResult(404, Map.of("reason", "no node is known as " + c.at(2))));
             return;
         }
         net.ask(
@@ -161,10 +158,8 @@
                 new Msg.Report("all"),
                 1500,
                 r -> back.accept(r.as(Msg.Reported.class)
-                        .map(m -> new ItemService.ApiResult(
-                                200, Api.<String, Object>cast(Json.read(m.json(), Map.class))))
-                        .orElse(new ItemService.ApiResult(
-                                504, Map.of("reason", "node " + c.at(2) + " does not answer")))));
+                        .map(m -> new ApiResult(200, Api.<String, Object>cast(Json.read(m.json(), Map.class))))
+                        .orElse(new ApiResult(504, Map.of("reason", "node " + c.at(2) + " does not answer")))));
     }
 
     @SuppressWarnings("unchecked")
@@ -172,7 +167,7 @@
         return (Map<K, V>) o;
     }
 
-    private void config(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void config(final Call c, final Consumer<ApiResult> back) {
         switch (c.method()) {
             case "PUT" -> node.clerk().apply(c.body(), back);
             case "GET" -> node.clerk().inContact(this::all, back);
@@ -180,17 +175,16 @@
         }
     }
 
-    private ItemService.ApiResult all() {
+    private ApiResult all() {
         final Config all = Config.of(node.held());
-        return new ItemService.ApiResult(
-                200, Map.of("services", all.services(), "routes", all.routes(), "purges", all.purges()));
+        return new ApiResult(200, Map.of("services", all.services(), "routes", all.routes(), "purges", all.purges()));
     }
 
-    private static ItemService.ApiResult wrong() {
-        return new ItemService.ApiResult(405, Map.of("fate", "refused", "reason", "this method is not taken here"));
+    private static ApiResult wrong() {
+        return new ApiResult(405, Map.of("fate", "refused", "reason", "this method is not taken here"));
     }
 
-    private void vouch(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void vouch(final Call c, final Consumer<ApiResult> back) {
         final String from = Optional.ofNullable(c.query().getValue("from")).orElse("");
         if (!c.at(2).equals("vouch")
                 || !c.method().equals("POST")
@@ -204,8 +198,8 @@
                         NodeId.of(from),
                         ok -> back.accept(
                                 ok
-                                        ? new ItemService.ApiResult(200, Map.of("fate", "done"))
-                                        : new ItemService.ApiResult(
+                                        ? new ApiResult(200, Map.of("fate", "done"))
+                                        : new ApiResult(
                                                 409,
                                                 Map.of(
                                                         "fate",
@@ -214,7 +208,7 @@
                                                         from + " did not answer with its memory"))));
     }
 
-    private void origins(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void origins(final Call c, final Consumer<ApiResult> back) {
         if (c.method().equals("GET")) {
             if (c.at(2).isEmpty()) {
                 node.clerk().inContact(() -> node.clerk().list(Kind.ORIGIN), back);
@@ -228,7 +222,7 @@
         }
     }
 
-    private void items(final Call c, final Consumer<ItemService.ApiResult> back) {
+    private void items(final Call c, final Consumer<ApiResult> back) {
         final Kind kind = Kind.of(c.at(1)).filter(Kind::stated).orElse(null);
         if (kind == null || c.path().size() > 3) {
             back.accept(none());
@@ -245,7 +239,7 @@
         }
     }
 
-    private void list(final Call c, final Kind kind, final Consumer<ItemService.ApiResult> back) {
+    private void list(final Call c, final Kind kind, final Consumer<ApiResult> back) {
         if (c.method().equals("GET")) {
             node.clerk().inContact(() -> node.clerk().list(kind), back);
         } else {
@@ -254,7 +248,7 @@
     }
 
     /** The stated version, and the version in force on every node that answers. */
-    private void force(final ItemId id, final Consumer<ItemService.ApiResult> back) {
+    private void force(final ItemId id, final Consumer<ApiResult> back) {
         node.clerk().inContact(() -> node.clerk().get(id), base -> {
             if (base.status() == 503) {
                 back.accept(base);
@@ -264,7 +258,7 @@
         });
     }
 
-    private void force(final ItemId id, final ItemService.ApiResult base, final Consumer<ItemService.ApiResult> back) {
+    private void force(final ItemId id, final ApiResult base, final Consumer<ApiResult> back) {
         final List<NodeId> all = node.roster().live().stream().map(Member::id).toList();
         final Map<String, Object> seen = new TreeMap<>();
         final int[] left = {all.size()};
@@ -284,7 +278,7 @@
                     if (base.status() == 200) {
                         body.put("state", body.containsKey("findings") ? "unfit" : whole ? "in force" : "spreading");
                     }
-                    back.accept(new ItemService.ApiResult(base.status(), body));
+                    back.accept(new ApiResult(base.status(), body));
                 }
             });
         }
--- a/rig/src/main/java/rv/rig/sim/ConfigReader.java
+++ b/rig/src/main/java/rv/rig/sim/ConfigReader.java
@@ -31,7 +31,7 @@
             all.ifPresent(m -> m.forEach((kind, some) -> {
                 if (kind != Kind.PURGE) {
                     some.forEach((name, item) -> items.put(
-                            kind.name() + "/" + name,
+                            kind.code() + "/" + name,
                             item.ver().n() + " "
                                     + Json.read(item.body(), Map.class).get("note")));
                 }
--- a/rig/src/main/java/rv/rig/sim/ItemOperator.java
+++ b/rig/src/main/java/rv/rig/sim/ItemOperator.java
@@ -8,7 +8,7 @@
 import java.util.function.IntConsumer;
 import rv.base.ItemId;
 import rv.base.Kind;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
 import rv.rig.Log;
 import rv.rig.Place;
@@ -236,7 +236,7 @@
             final ItemId id,
             final String body,
             final Map<String, Object> more,
-            final Consumer<ItemService.ApiResult> then) {
+            final Consumer<ApiResult> then) {
         final SimNode at = town.anyNode();
         if (at == null) {
             return;
@@ -248,7 +248,7 @@
         final long life = at.life();
         town.world().in(1, () -> {
             if (at.alive() && at.life() == life) {
-                final Consumer<ItemService.ApiResult> back = s -> {
+                final Consumer<ApiResult> back = s -> {
                     if (s.body().get("version") instanceof Number n) {
                         known.merge(id.text(), n.longValue(), Math::max);
                     }
--- a/rig/src/main/java/rv/rig/sim/OrderClient.java
+++ b/rig/src/main/java/rv/rig/sim/OrderClient.java
@@ -9,7 +9,7 @@
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
 import rv.base.Role;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Purge;
 import rv.rig.Log;
 
@@ -147,7 +147,7 @@
             world().in(SILENCE_MS, once);
         }
 
-        private void answer(final SimNode at, final ItemService.ApiResult s, final Runnable again) {
+        private void answer(final SimNode at, final ApiResult s, final Runnable again) {
             if (clear) {
                 return;
             }
@@ -183,7 +183,7 @@
             final long t,
             final SimNode at,
             final Long order,
-            final ItemService.ApiResult s,
+            final ApiResult s,
             final boolean lost) {
         cluster.log()
                 .add(Log.row(
--- a/rig/src/main/java/rv/rig/sim/OrderItem.java
+++ b/rig/src/main/java/rv/rig/sim/OrderItem.java
@@ -7,7 +7,7 @@
 /** One item of an operator's order; a {@code body} of null drops it. {@code facts} go into the log beside it. */
 record OrderItem(Kind kind, String name, long version, Map<String, Object> body, Map<String, Object> facts) {
     String id() {
-        return kind.name() + "/" + name;
+        return kind.code() + "/" + name;
     }
 
     boolean drops() {
--- a/rig/src/main/java/rv/rig/sim/OriginAnnouncements.java
+++ b/rig/src/main/java/rv/rig/sim/OriginAnnouncements.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
 import rv.control.Origin;
 import rv.rig.Log;
@@ -20,7 +20,7 @@
                 final String stamp,
                 final boolean out,
                 final long beat,
-                final Consumer<ItemService.ApiResult> then) {
+                final Consumer<ApiResult> then) {
             final byte[] body = Json.text(Log.row(
                             "service",
                             who.stock().service(),
@@ -45,9 +45,8 @@
         }
 
         @Override
-        public void end(
-                final SimNode at, final String name, final String stamp, final Consumer<ItemService.ApiResult> then) {
-            then.accept(new ItemService.ApiResult(204, java.util.Map.of()));
+        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResult> then) {
+            then.accept(new ApiResult(204, java.util.Map.of()));
         }
 
         @Override
@@ -70,7 +69,7 @@
                 final String stamp,
                 final boolean out,
                 final long beat,
-                final Consumer<ItemService.ApiResult> then) {
+                final Consumer<ApiResult> then) {
             final SimOrigin.Make m = who.make();
             at.node()
                     .registry()
@@ -93,8 +92,7 @@
         }
 
         @Override
-        public void end(
-                final SimNode at, final String name, final String stamp, final Consumer<ItemService.ApiResult> then) {
+        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResult> then) {
             at.node().registry().end(stamp, then);
         }
 
--- a/rig/src/main/java/rv/rig/sim/SimOrigin.java
+++ b/rig/src/main/java/rv/rig/sim/SimOrigin.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.data.Port;
 import rv.rig.Log;
 import rv.rig.Stock;
@@ -36,10 +36,10 @@
 
     /** How origins tell the network of themselves. */
     interface Word {
-        void say(SimNode at, SimOrigin who, String stamp, boolean out, long beat, Consumer<ItemService.ApiResult> then);
+        void say(SimNode at, SimOrigin who, String stamp, boolean out, long beat, Consumer<ApiResult> then);
 
         /** Its last word: it has ended. */
-        void end(SimNode at, String name, String stamp, Consumer<ItemService.ApiResult> then);
+        void end(SimNode at, String name, String stamp, Consumer<ApiResult> then);
 
         /** Whether an end is told at all. */
         boolean tells();
@@ -196,8 +196,7 @@
         }
     }
 
-    private void note(
-            final long t, final String what, final String mark, final SimNode at, final ItemService.ApiResult s) {
+    private void note(final long t, final String what, final String mark, final SimNode at, final ApiResult s) {
         log.add(Log.row(
                 "log",
                 "op",
@@ -219,7 +218,7 @@
                 s.status()));
     }
 
-    private void announce(final boolean out, final Consumer<ItemService.ApiResult> then) {
+    private void announce(final boolean out, final Consumer<ApiResult> then) {
         final SimNode at = any.get();
         final long t = world.now();
         final String mark = stamp;
--- a/rig/src/test/java/rv/rig/DeskTest.java
+++ b/rig/src/test/java/rv/rig/DeskTest.java
@@ -24,10 +24,10 @@
 import rv.base.Wire;
 import rv.control.Digest;
 import rv.control.Electorate;
-import rv.control.FrameSync;
 import rv.control.ItemStore;
 import rv.control.MonitoredDisk;
 import rv.control.Quorum;
+import rv.control.ViewServer;
 import rv.control.Voter;
 
 /** What an elector says to a node that asks whether it holds all. */
@@ -39,7 +39,7 @@
     private final ItemStore held = new ItemStore(clock, new Journal(clock, 10));
     private final List<Msg.Give> said = new ArrayList<>();
     private Voter elector;
-    private FrameSync.Desk desk;
+    private ViewServer desk;
 
     private static final class Clock implements Loop {
         private final PriorityQueue<Map.Entry<Long, Runnable>> jobs = new PriorityQueue<>(Map.Entry.comparingByKey());
@@ -97,7 +97,7 @@
                 () -> false);
         elector.start();
         assertTrue(elector.full());
-        desk = new FrameSync.Desk(elector, held, clock);
+        desk = new ViewServer(elector, held, clock);
     }
 
     private void ask(final ItemId... about) {
--- a/rig/src/test/java/rv/rig/FaultTest.java
+++ b/rig/src/test/java/rv/rig/FaultTest.java
@@ -16,7 +16,7 @@
 import rv.base.ItemId;
 import rv.base.Kind;
 import rv.base.NodeId;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
 import rv.control.Plan;
 import rv.rig.judge.Judge;
@@ -55,7 +55,7 @@
     void anAcceptedWriteOutlivesAStoresPowerOrDiskLostRightAfterTheAnswer(final long seed) {
         final SimCluster town = new SimCluster(Place.coastline(), seed).open();
         final String victim = seed % 2 == 0 ? "st1" : "st2";
-        final List<ItemService.ApiResult> said = new ArrayList<>();
+        final List<ApiResult> said = new ArrayList<>();
         town.node("ed1")
                 .post(() -> town.node("ed1")
                         .node()
@@ -76,7 +76,7 @@
                 .filter(n -> !n.id().text().equals(victim) && n.id().text().startsWith("st"))
                 .forEach(SimNode::kill);
         town.run(3000);
-        final List<ItemService.ApiResult> next = new ArrayList<>();
+        final List<ApiResult> next = new ArrayList<>();
         town.node("ed2").post(() -> town.node("ed2").node().clerk().put(ROUTE, body(7).getBytes(), 1, "w2", next::add));
         town.run(3000);
         assertEquals(200, next.get(0).status(), "the rebuilt store votes, and knows version 1");
@@ -168,16 +168,14 @@
     @Test
     void aRepeatedWriteIsAnsweredLikeTheFirst() {
         final SimCluster town = new SimCluster(Place.coastline(), 3).open();
-        final List<ItemService.ApiResult> said = new ArrayList<>();
+        final List<ApiResult> said = new ArrayList<>();
         for (final String n : List.of("ed1", "ed4")) {
             town.node(n)
                     .post(() ->
                             town.node(n).node().clerk().put(ROUTE, body(1234).getBytes(), 0, "same", said::add));
             town.run(1000);
         }
-        assertEquals(
-                List.of(200, 200),
-                said.stream().map(ItemService.ApiResult::status).toList());
+        assertEquals(List.of(200, 200), said.stream().map(ApiResult::status).toList());
         assertEquals(said.get(0).body().get("version"), said.get(1).body().get("version"));
     }
 
--- a/rig/src/test/java/rv/rig/GrowthTest.java
+++ b/rig/src/test/java/rv/rig/GrowthTest.java
@@ -11,7 +11,7 @@
 import rv.base.ItemId;
 import rv.base.Kind;
 import rv.base.Msg;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
 import rv.data.ClientRequest;
 import rv.rig.judge.Judge;
@@ -29,8 +29,7 @@
                 .count();
     }
 
-    private static void purge(
-            final SimCluster town, final String name, final String path, final List<ItemService.ApiResult> said) {
+    private static void purge(final SimCluster town, final String name, final String path, final List<ApiResult> said) {
         final byte[] body = Json.text(Log.row("route", "stock", "path", path)).getBytes();
         town.node("ed1")
                 .post(() -> town.node("ed1")
@@ -45,7 +44,7 @@
         final SimCluster town = new SimCluster(Place.kilimanjaro(), seed).open();
         town.crowd().factor(0.02);
         town.itemOperator().stop();
-        final List<ItemService.ApiResult> said = new ArrayList<>();
+        final List<ApiResult> said = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             purge(town, "p" + i, "/stock/" + i, said);
             town.run(50);
--- a/rig/src/test/java/rv/rig/LeaseTest.java
+++ b/rig/src/test/java/rv/rig/LeaseTest.java
@@ -24,7 +24,7 @@
 import rv.control.Holder;
 import rv.control.ItemStore;
 import rv.control.Json;
-import rv.control.Tenure;
+import rv.control.Leadership;
 import rv.rig.sim.World;
 
 /** The holder's side of the lease rules, on virtual time with an authority played by hand. */
@@ -63,7 +63,7 @@
         holder.start();
         held.merge(new Msg.Chosen(
                 new Ballot(1, "x"),
-                Item.none(ItemId.TENURE).next(Json.text(new Tenure.Body("st1", "b", 1, 1, false, 0, 0, 0)), "t")));
+                Item.none(ItemId.TENURE).next(Json.text(new Leadership("st1", "b", 1, 1, false, 0, 0, 0)), "t")));
         world.run(100);
         holder.place(BOSS, new Msg.Place(1, 1, List.of(new Msg.Claim(3, new Token(1, 1), "GRANTED"))), m -> {});
     }
--- a/rig/src/test/java/rv/rig/PartsTest.java
+++ b/rig/src/test/java/rv/rig/PartsTest.java
@@ -22,6 +22,7 @@
 import rv.base.Reply;
 import rv.base.Token;
 import rv.control.ConfigView;
+import rv.control.ConfiguredRoute;
 import rv.control.ItemStore;
 import rv.control.Json;
 import rv.control.Plan;
@@ -269,7 +270,7 @@
     @Test
     void aDeletedPurgeStillHoldsForOlderCopies() {
         stock(1000);
-        final ConfigView.Row row = view.named("r").orElseThrow();
+        final ConfiguredRoute row = view.named("r").orElseThrow();
         final Mark before = view.mark(row, "/s/1");
         hold(Kind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
         final Item p = held.get(new ItemId(Kind.PURGE, "p"));
--- a/rig/src/test/java/rv/rig/RebuildTest.java
+++ b/rig/src/test/java/rv/rig/RebuildTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rv.base.ItemId;
 import rv.base.Kind;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
 import rv.rig.sim.SimCluster;
 
@@ -26,7 +26,7 @@
         town.loseDisk("st1", 200);
         town.world().in(700 + seed * 60, () -> town.stall("st1", 4000));
         final String service = place.kin().get(0).service();
-        final List<ItemService.ApiResult> said = new ArrayList<>();
+        final List<ApiResult> said = new ArrayList<>();
         for (int i = 0; i < 70; i++) {
             final ItemId id = new ItemId(Kind.ROUTE, "extra" + i);
             final byte[] body = Json.text(Log.row(
--- a/rig/src/test/java/rv/rig/ResumeTest.java
+++ b/rig/src/test/java/rv/rig/ResumeTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rv.base.ItemId;
 import rv.base.Kind;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Json;
+import rv.control.Leadership;
 import rv.control.Tenure;
 import rv.data.Answer;
 import rv.data.ClientRequest;
@@ -125,7 +126,7 @@
                         .node()
                         .edge()
                         .take(ask, a -> again.add(a.fate() + " " + new String(a.body()))));
-        final List<ItemService.ApiResult> next = new ArrayList<>();
+        final List<ApiResult> next = new ArrayList<>();
         town.node("ed2").post(() -> town.node("ed2").node().clerk().put(ROUTE, route, 1, "w2", next::add));
         town.run(3000);
         assertTrue(again.get(0).startsWith(Answer.DONE), again.toString());
@@ -140,8 +141,8 @@
     @ValueSource(strings = {"st1", "st2"})
     void termsLeapWhenOnlyOneMemoryIsLeft(final String victim) {
         final SimCluster town = new SimCluster(Place.coastline(), 5).open();
-        final long before = Tenure.Body.of(town.node("ed2").node().held().get(ItemId.TENURE))
-                .term();
+        final long before =
+                Leadership.of(town.node("ed2").node().held().get(ItemId.TENURE)).term();
         town.node("sh1").kill();
         town.loseDisk(victim, 500);
         town.start("sh1");
@@ -149,9 +150,8 @@
         assertTrue(count(town, "RESUMED") > 0);
         town.kill(town.boss(), 0);
         town.run(9000);
-        assertTrue(Tenure.Body.of(town.node("ed1").node().held().get(ItemId.TENURE))
-                        .term()
-                >= before + Tenure.LEAP);
+        assertTrue(
+                Leadership.of(town.node("ed1").node().held().get(ItemId.TENURE)).term() >= before + Tenure.LEAP);
         assertTrue(town.node("sh3").node().holder().count() > 0);
     }
 
--- a/rig/src/test/java/rv/rig/StormTest.java
+++ b/rig/src/test/java/rv/rig/StormTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.control.Purge;
 import rv.rig.sim.SimCluster;
 import rv.rig.sim.SimNode;
@@ -18,7 +18,7 @@
         town.crowd().factor(0.02);
         town.itemOperator().stop();
         town.run(1000);
-        final List<ItemService.ApiResult> said = new ArrayList<>();
+        final List<ApiResult> said = new ArrayList<>();
         int stale = 0;
         for (int i = 0; i < 600; i++) {
             final SimNode door = town.node("ed" + (1 + i % 5));
--- a/rig/src/test/java/rv/rig/WorstTest.java
+++ b/rig/src/test/java/rv/rig/WorstTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import rv.base.ItemId;
 import rv.base.Kind;
-import rv.control.ItemService;
+import rv.control.ApiResult;
 import rv.data.ClientRequest;
 import rv.rig.judge.Judge;
 import rv.rig.judge.Verdict;
@@ -242,7 +242,7 @@
                                 new ItemId(Kind.ROUTE, "terms"),
                                 1,
                                 "d",
-                                (ItemService.ApiResult s) -> said.add(
+                                (ApiResult s) -> said.add(
                                         s.status() + " " + (town.world().now() - from) + " "
                                                 + s.body().get("retryAfterMs"))));
         town.run(4000);
