--- a/base/src/main/java/rv/base/Ballot.java
+++ b/common/src/main/java/org/rowanvalve/common/Ballot.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** A proposal number of one register: rounds rise, and the proposer's name breaks ties. */
 public record Ballot(long round, String node) implements Comparable<Ballot> {
--- a/base/src/main/java/rv/base/Code.java
+++ b/common/src/main/java/org/rowanvalve/common/Code.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** The numbered events; docs/EVENTS.md lists each and a test keeps the two alike. */
 public enum Code {
--- a/base/src/main/java/rv/base/Disk.java
+++ b/common/src/main/java/org/rowanvalve/common/Disk.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 import java.util.Map;
 import java.util.function.Consumer;
--- a/base/src/main/java/rv/base/DiskTrouble.java
+++ b/common/src/main/java/org/rowanvalve/common/DiskTrouble.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** State on disk cannot be read or written. */
 public final class DiskTrouble extends Exception {
--- a/base/src/main/java/rv/base/Finding.java
+++ b/common/src/main/java/org/rowanvalve/common/Finding.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** One fault of an input, with the place in the input where it stands. */
 public record Finding(String place, String text) {
--- a/base/src/main/java/rv/base/Item.java
+++ b/common/src/main/java/org/rowanvalve/common/Item.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 import java.nio.charset.StandardCharsets;
 
--- a/base/src/main/java/rv/base/Loop.java
+++ b/common/src/main/java/org/rowanvalve/common/Loop.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** The one thread of a node's core: time and jobs. {@code now} is monotonic milliseconds. */
 public interface Loop {
--- a/base/src/main/java/rv/base/Member.java
+++ b/common/src/main/java/org/rowanvalve/common/Member.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** One process of the network as its heartbeats describe it. */
 public record Member(
--- a/base/src/main/java/rv/base/Timing.java
+++ b/common/src/main/java/org/rowanvalve/common/Timing.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** D, M, the greatest age of a frame, and the beats derived from them, in milliseconds. */
 public record Timing(long d, long m, long fresh) {
--- a/base/src/main/java/rv/base/Token.java
+++ b/common/src/main/java/org/rowanvalve/common/Token.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** A fencing token: the term of the authority that gave it, and a count within the plan. */
 public record Token(long term, long count) implements Comparable<Token> {
--- a/base/src/main/java/rv/base/Wire.java
+++ b/common/src/main/java/org/rowanvalve/common/Wire.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
--- a/base/src/main/java/rv/base/WireTrouble.java
+++ b/common/src/main/java/org/rowanvalve/common/WireTrouble.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 /** Bytes that are not a message, or not one of a known type. */
 public final class WireTrouble extends Exception {
--- a/base/src/test/java/rv/base/WireTest.java
+++ b/common/src/test/java/org/rowanvalve/common/WireTest.java
@@ -1,4 +1,4 @@
-package rv.base;
+package org.rowanvalve.common;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/control/src/main/java/rv/control/AnswerDeadline.java
+++ b/control/src/main/java/org/rowanvalve/control/AnswerDeadline.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Loop;
+import org.rowanvalve.common.Loop;
 
 /**
  * Gives one answer, the first that comes. Callers go on to another node after a second of silence, so a node that has
--- a/control/src/main/java/rv/control/ApiResult.java
+++ b/control/src/main/java/org/rowanvalve/control/ApiResult.java
@@ -1,10 +1,10 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rv.base.Finding;
-import rv.base.ItemId;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.ItemId;
 
 /** A status and the members of the JSON body that goes with it. */
 public record ApiResult(int status, Map<String, Object> body) {
--- a/control/src/main/java/rv/control/Authority.java
+++ b/control/src/main/java/org/rowanvalve/control/Authority.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,19 +10,19 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import rv.base.Code;
-import rv.base.Condition;
-import rv.base.Event;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.base.Ver;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Ver;
 
 /** The acting store's side of plan and leases. */
 public final class Authority {
--- a/control/src/main/java/rv/control/Compactor.java
+++ b/control/src/main/java/org/rowanvalve/control/Compactor.java
@@ -1,14 +1,14 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
-import rv.base.Item;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
 
 /** The acting store's duty: drops purges that no copy can be older than, and origins long gone. */
 public final class Compactor {
--- a/control/src/main/java/rv/control/Config.java
+++ b/control/src/main/java/org/rowanvalve/control/Config.java
@@ -1,13 +1,13 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import rv.base.Finding;
-import rv.base.ItemId;
-import rv.base.Kind;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
 
 /** What operators state, as far as it could be read; {@link #check} adds what does not fit together. */
 public final class Config {
@@ -191,8 +191,8 @@
     public static Config of(final ItemStore held) {
         final Config c = new Config();
         held.all().stream()
-                .map(rv.base.Msg.Chosen::item)
-                .filter(rv.base.Item::live)
+                .map(org.rowanvalve.common.Msg.Chosen::item)
+                .filter(org.rowanvalve.common.Item::live)
                 .forEach(i -> {
                     switch (i.id().kind()) {
                         case SERVICE -> c.services.put(i.id().name(), Json.read(i.body(), Service.class));
--- a/control/src/main/java/rv/control/ConfigView.java
+++ b/control/src/main/java/org/rowanvalve/control/ConfigView.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Mark;
-import rv.base.Ver;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Ver;
 
 /** What the held items mean to traffic, folded anew after each change. */
 public final class ConfigView {
--- a/control/src/main/java/rv/control/ConfiguredRoute.java
+++ b/control/src/main/java/org/rowanvalve/control/ConfiguredRoute.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.Optional;
 
--- a/control/src/main/java/rv/control/Digest.java
+++ b/control/src/main/java/org/rowanvalve/control/Digest.java
@@ -1,10 +1,10 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
-import rv.base.Hash;
-import rv.base.Item;
-import rv.base.ItemId;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
 
 /** Sums over (item, version): one over all, one for each cell, so that two nodes find where they differ. */
 public final class Digest {
--- a/control/src/main/java/rv/control/Drift.java
+++ b/control/src/main/java/org/rowanvalve/control/Drift.java
@@ -1,10 +1,10 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import rv.base.NodeId;
-import rv.base.Timing;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Timing;
 
 /** Compares this clock's pace with its peers' over a window of beats; the bound is over D+2M. */
 public final class Drift {
--- a/control/src/main/java/rv/control/Electorate.java
+++ b/control/src/main/java/org/rowanvalve/control/Electorate.java
@@ -1,14 +1,14 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import rv.base.ItemId;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /**
  * The set of voters that this node goes by. It begins as the founding set and only moves forward, to a later set that
--- a/control/src/main/java/rv/control/FrameSync.java
+++ b/control/src/main/java/org/rowanvalve/control/FrameSync.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Timing;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Timing;
 
 /** Asks the electors whether this node holds all they have accepted, and takes what it lacks. */
 public final class FrameSync {
--- a/control/src/main/java/rv/control/Holder.java
+++ b/control/src/main/java/org/rowanvalve/control/Holder.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,16 +8,16 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Timing;
-import rv.base.Token;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Token;
 
 /** A shield's leases: held, uncertain, expired or revoked; only a held one starts fills. */
 public final class Holder {
--- a/control/src/main/java/rv/control/ItemService.java
+++ b/control/src/main/java/org/rowanvalve/control/ItemService.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Finding;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Ver;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Ver;
 
 /** Takes what operators and origins state, at any node. */
 public final class ItemService {
@@ -297,7 +297,7 @@
     public ApiResult list(final Kind kind) {
         final Map<String, Object> all = new TreeMap<>();
         held.all().stream()
-                .map(rv.base.Msg.Chosen::item)
+                .map(org.rowanvalve.common.Msg.Chosen::item)
                 .filter(i -> i.id().kind() == kind && i.live())
                 .forEach(i -> all.put(
                         i.id().name(),
--- a/control/src/main/java/rv/control/ItemStore.java
+++ b/control/src/main/java/org/rowanvalve/control/ItemStore.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -9,15 +9,15 @@
 import org.eclipse.collections.api.map.ImmutableMap;
 import org.eclipse.collections.api.map.MutableMap;
 import org.eclipse.collections.impl.factory.Maps;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Ver;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Ver;
 
 /** The chosen items a node has learned. Versions never fall. */
 public final class ItemStore {
--- a/control/src/main/java/rv/control/Json.java
+++ b/control/src/main/java/org/rowanvalve/control/Json.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
--- a/control/src/main/java/rv/control/JsonReader.java
+++ b/control/src/main/java/org/rowanvalve/control/JsonReader.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import com.jsoniter.JsonIterator;
 import com.jsoniter.ValueType;
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rv.base.Finding;
+import org.rowanvalve.common.Finding;
 
 /** Reads operators' JSON whole, so that every fault is found with its path in one pass. */
 public final class JsonReader {
--- a/control/src/main/java/rv/control/JsonShape.java
+++ b/control/src/main/java/org/rowanvalve/control/JsonShape.java
@@ -1,11 +1,11 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.math.BigDecimal;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import rv.base.Finding;
+import org.rowanvalve.common.Finding;
 
 /** Reads one object's members, noting what is missing, of the wrong type, out of range or unknown. */
 public final class JsonShape {
--- a/control/src/main/java/rv/control/KeyRecordStore.java
+++ b/control/src/main/java/org/rowanvalve/control/KeyRecordStore.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.Collections;
 import java.util.HashMap;
@@ -8,18 +8,18 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import rv.base.Code;
-import rv.base.DiskTrouble;
-import rv.base.Event;
-import rv.base.Hash;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 /**
  * Remembers intents and outcomes of keyed requests; bars tokens below the highest it was read with. Each write names
--- a/control/src/main/java/rv/control/KeyRecordTable.java
+++ b/control/src/main/java/org/rowanvalve/control/KeyRecordTable.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Hash;
-import rv.base.Msg;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Msg;
 
 /**
  * The records of keyed requests that one keeper holds, by shard and by cell. Each cell has a sum over its records, so
--- a/control/src/main/java/rv/control/Leadership.java
+++ b/control/src/main/java/org/rowanvalve/control/Leadership.java
@@ -1,7 +1,7 @@
-package rv.control;
+package org.rowanvalve.control;
 
-import rv.base.Item;
-import rv.base.Timing;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.Timing;
 
 public record Leadership(
         String holder, String boot, long term, long beat, boolean free, long lives, long reign, long slack) {
--- a/control/src/main/java/rv/control/Limits.java
+++ b/control/src/main/java/org/rowanvalve/control/Limits.java
@@ -1,9 +1,9 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.Optional;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
 
 /** What a caller may send and how long it may take, in bytes and milliseconds; {@code note}: the operator's own words. */
 public record Limits(int headBytes, int bodyBytes, long headMs, long idleMs, String note) {
--- a/control/src/main/java/rv/control/MemberList.java
+++ b/control/src/main/java/org/rowanvalve/control/MemberList.java
@@ -1,14 +1,14 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Role;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
 
 /**
  * All members ever heard of, each at a place that it keeps; changes are numbered, so that others can be told the rest.
--- a/control/src/main/java/rv/control/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/Membership.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.Comparator;
 import java.util.HashMap;
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import rv.base.Code;
-import rv.base.Condition;
-import rv.base.Event;
-import rv.base.Hash;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
 
 /** Who is there: every node sends heartbeats to the voters, the voters tell all they have heard. */
 public final class Membership {
--- a/control/src/main/java/rv/control/MemoryRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/MemoryRecovery.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
 
 /**
  * A voter without memory answers no vote until it has read a majority of the others of its epoch, each of which raises its
--- a/control/src/main/java/rv/control/MonitoredDisk.java
+++ b/control/src/main/java/org/rowanvalve/control/MonitoredDisk.java
@@ -1,12 +1,12 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Loop;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Loop;
 
 /**
  * A disk that knows how long it has been behind, so that its owner can say so instead of keeping others waiting. Rows
--- a/control/src/main/java/rv/control/OrderLedger.java
+++ b/control/src/main/java/org/rowanvalve/control/OrderLedger.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.stream.Stream;
-import rv.base.Finding;
-import rv.base.Item;
-import rv.base.ItemId;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
 
 /**
  * The value of the one register that decides operators' calls: for each item the numbers taken last and the digest of
--- a/control/src/main/java/rv/control/OrderSequencer.java
+++ b/control/src/main/java/org/rowanvalve/control/OrderSequencer.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Loop;
-import rv.control.OrderLedger.Judgement;
-import rv.control.OrderLedger.Verdict;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.control.OrderLedger.Judgement;
+import org.rowanvalve.control.OrderLedger.Verdict;
 
 /**
  * Takes calls into the ledger, several in one write, and then writes their items. Any node may do so at any time: what
--- a/control/src/main/java/rv/control/Orders.java
+++ b/control/src/main/java/org/rowanvalve/control/Orders.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Finding;
-import rv.base.Hash;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.control.OrderLedger.Judgement;
-import rv.control.OrderLedger.Verdict;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.OrderLedger.Judgement;
+import org.rowanvalve.control.OrderLedger.Verdict;
 
 /**
  * Operators' orders under versions of their own: items set and dropped, objects purged, the whole read back. Every
--- a/control/src/main/java/rv/control/Origin.java
+++ b/control/src/main/java/org/rowanvalve/control/Origin.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 /**
  * {@code cell}: its zone; {@code slots}: requests that it works on at once, 0 where it does not say; {@code coldMs}: how
--- a/control/src/main/java/rv/control/OriginAnnouncements.java
+++ b/control/src/main/java/org/rowanvalve/control/OriginAnnouncements.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,13 +6,13 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Finding;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
 
 /** Origins that announce themselves for a time to live: each announcement is checked and written as an item. */
 final class OriginAnnouncements {
--- a/control/src/main/java/rv/control/OwnerChoice.java
+++ b/control/src/main/java/org/rowanvalve/control/OwnerChoice.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
-import rv.base.NodeId;
+import org.rowanvalve.common.NodeId;
 
 /** Which shield a shard goes to. Shards belong to places in turn; a place's shields hold its shards while there are any. */
 final class OwnerChoice {
--- a/control/src/main/java/rv/control/Pace.java
+++ b/control/src/main/java/org/rowanvalve/control/Pace.java
@@ -1,10 +1,10 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
-import rv.base.NodeId;
-import rv.base.Timing;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Timing;
 
 /**
  * Others' clocks, judged by one-way beats. A beat may come late but never early, so only the promptest of the older
--- a/control/src/main/java/rv/control/Patch.java
+++ b/control/src/main/java/org/rowanvalve/control/Patch.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import rv.base.Finding;
-import rv.base.Hash;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Ver;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Ver;
 
 /**
  * A call that sets and drops items under versions of the operator's own: for each name the highest holds, a lower one
--- a/control/src/main/java/rv/control/Places.java
+++ b/control/src/main/java/org/rowanvalve/control/Places.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 /** The places that shards belong to. */
 public interface Places {
--- a/control/src/main/java/rv/control/Plan.java
+++ b/control/src/main/java/org/rowanvalve/control/Plan.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Hash;
-import rv.base.Item;
-import rv.base.NodeId;
-import rv.base.Token;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
 
 /** One epoch: which shield fills each shard, under which token. */
 public record Plan(long epoch, long term, List<Part> parts, long serial, Map<String, List<Integer>> weights) {
--- a/control/src/main/java/rv/control/Purge.java
+++ b/control/src/main/java/org/rowanvalve/control/Purge.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 /** Names a route's path or prefix, or a host's path, or a tag that origins gave their answers. */
 public record Purge(String route, String path, String prefix, String host, String tag) {
--- a/control/src/main/java/rv/control/Quorum.java
+++ b/control/src/main/java/org/rowanvalve/control/Quorum.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.List;
 import java.util.Set;
-import rv.base.NodeId;
+import org.rowanvalve.common.NodeId;
 
 /**
  * The voters of one epoch, and which of them are stores; where none is named, every voter has a disk. Answers that were
--- a/control/src/main/java/rv/control/RecordCopy.java
+++ b/control/src/main/java/org/rowanvalve/control/RecordCopy.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiPredicate;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
 
 /**
  * Copies the records that other keepers hold and this one lacks: the sums of all cells first, then pages of those cells
--- a/control/src/main/java/rv/control/RecordHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/RecordHandover.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.List;
 import java.util.Map;
-import rv.base.Msg;
+import org.rowanvalve.common.Msg;
 
 /** What a voter's records of keyed requests do when its memory is rebuilt, and at a change of the voting set. */
 public interface RecordHandover {
--- a/control/src/main/java/rv/control/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/RecordRecovery.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -7,12 +7,12 @@
 import java.util.Set;
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Token;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
 
 /**
  * Fills a record store from those of the present voters: a voter that lost its memory until nothing is lacking, a standby
--- a/control/src/main/java/rv/control/Registry.java
+++ b/control/src/main/java/org/rowanvalve/control/Registry.java
@@ -1,17 +1,17 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
 
 /** Origins that beat: an item is written only when something about one changes, the beats themselves stay here. */
 public final class Registry {
--- a/control/src/main/java/rv/control/Rule.java
+++ b/control/src/main/java/org/rowanvalve/control/Rule.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import dev.cel.common.CelOptions;
 import dev.cel.common.CelValidationException;
--- a/control/src/main/java/rv/control/SeedView.java
+++ b/control/src/main/java/org/rowanvalve/control/SeedView.java
@@ -1,12 +1,12 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.ObjLongConsumer;
-import rv.base.Member;
-import rv.base.Msg;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
 
 /** A seed's member list as far as it has been told here; an answer brings what changed, and how long each is silent. */
 final class SeedView {
--- a/control/src/main/java/rv/control/Service.java
+++ b/control/src/main/java/org/rowanvalve/control/Service.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 /**
  * {@code rate}: requests a second for each origin; {@code ceiling}: for all of them together, 0 where there is none;
--- a/control/src/main/java/rv/control/Shares.java
+++ b/control/src/main/java/org/rowanvalve/control/Shares.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import rv.base.Msg;
-import rv.base.NodeId;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
 
 /**
  * Each shard's part of a content store's rate follows what its holder wants to send. Holders whose part falls are lowered
--- a/control/src/main/java/rv/control/StoreHealth.java
+++ b/control/src/main/java/org/rowanvalve/control/StoreHealth.java
@@ -1,14 +1,14 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.NodeId;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.NodeId;
 
 /** Which stores are heard from: what is accepted stands at both, or at one once the other has been silent for a while. */
 public final class StoreHealth {
--- a/control/src/main/java/rv/control/Sweep.java
+++ b/control/src/main/java/org/rowanvalve/control/Sweep.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
 
 /**
  * Purges and origins take their versions from one rising count for each kind, so one number says what is dropped: all
--- a/control/src/main/java/rv/control/Tenure.java
+++ b/control/src/main/java/org/rowanvalve/control/Tenure.java
@@ -1,16 +1,16 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongSupplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.NodeId;
-import rv.base.Timing;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Timing;
 
 /** Which store is the lease authority. Renewed each D/3, acted upon until t_send + D - M. */
 public final class Tenure {
--- a/control/src/main/java/rv/control/ViewServer.java
+++ b/control/src/main/java/org/rowanvalve/control/ViewServer.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import rv.base.ItemId;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Ver;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Ver;
 
 /** The electors' side of the questions. */
 public final class ViewServer {
--- a/control/src/main/java/rv/control/Voter.java
+++ b/control/src/main/java/org/rowanvalve/control/Voter.java
@@ -1,22 +1,22 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import rv.base.Ballot;
-import rv.base.Code;
-import rv.base.DiskTrouble;
-import rv.base.Event;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Ver;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Ver;
 
 /**
  * One voter over all registers, or a standby that may become one. It answers only in the present epoch, and only with a
--- a/control/src/main/java/rv/control/VoterAddress.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterAddress.java
@@ -1,6 +1,6 @@
-package rv.control;
+package org.rowanvalve.control;
 
-import rv.base.NodeId;
+import org.rowanvalve.common.NodeId;
 
 /** A voter and where it is reached, written {@code ID@IP:PORT}. */
 public record VoterAddress(NodeId id, String host, int port) {
--- a/control/src/main/java/rv/control/VoterHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterHandover.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -7,14 +7,14 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /**
  * The change from one voting set to the next. A voter of the earlier set seals it: once the chosen later set is synced,
--- a/control/src/main/java/rv/control/VoterMemory.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterMemory.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Ballot;
-import rv.base.Code;
-import rv.base.DiskTrouble;
-import rv.base.Event;
-import rv.base.Hash;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 /**
  * What a voter remembers, in rows on its disk: its registers, a floor under all ballots, the epoch it last voted in, and
--- a/control/src/main/java/rv/control/VoterPlanner.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterPlanner.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,17 +6,17 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.IntSupplier;
-import rv.base.Code;
-import rv.base.Condition;
-import rv.base.Event;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Role;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
 
 /**
  * Keeps the voting set at its wanted size, on the acting lease authority only: a voter that is leaving or has been silent
--- a/control/src/main/java/rv/control/VoterSearch.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterSearch.java
@@ -1,14 +1,14 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
 
 /** Looks for a later voting set while this node's frame is not confirmed: asks seeds and members who votes. */
 public final class VoterSearch {
--- a/control/src/main/java/rv/control/VoterSet.java
+++ b/control/src/main/java/org/rowanvalve/control/VoterSet.java
@@ -1,8 +1,8 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.List;
-import rv.base.Item;
-import rv.base.NodeId;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.NodeId;
 
 /**
  * The body of the register that names the voters; its version is the epoch. {@code previous} names the set of the epoch
--- a/control/src/main/java/rv/control/WriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/WriteRecovery.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -12,10 +12,10 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
 
 /**
  * Finishes what a vanished writer began: values accepted here that nobody has called chosen. What a start finds on its
--- a/control/src/main/java/rv/control/Writer.java
+++ b/control/src/main/java/org/rowanvalve/control/Writer.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,17 +10,17 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Ballot;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /** Proposes changes to registers: prepare at a majority, apply, accept at a majority with a store, tell all. */
 public final class Writer {
--- a/control/src/test/java/rv/control/ClerkTest.java
+++ b/control/src/test/java/org/rowanvalve/control/ClerkTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Kind;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
 
 /** The product's own interface, for what came with hosts, tags and services of the open kind. */
 class ClerkTest {
--- a/control/src/test/java/rv/control/KeyRecordCopyTest.java
+++ b/control/src/test/java/org/rowanvalve/control/KeyRecordCopyTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Code;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.Reply;
-import rv.base.Token;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
 
 /** The copying of a lost memory from the other keepers. */
 class KeyRecordCopyTest extends KeyRecordFixture {
--- a/control/src/test/java/rv/control/KeyRecordFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/KeyRecordFixture.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import rv.base.Disk;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.base.Wire;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Wire;
 
 /** Three keepers of records on a loop of virtual time, with answers that can be late or lost. */
 abstract class KeyRecordFixture {
--- a/control/src/test/java/rv/control/KeyRecordStoreTest.java
+++ b/control/src/test/java/org/rowanvalve/control/KeyRecordStoreTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,9 +8,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.Msg;
-import rv.base.Token;
-import rv.base.Wire;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Wire;
 
 /** A keeper's records: light pages, outcomes on demand, and retention. */
 class KeyRecordStoreTest extends KeyRecordFixture {
--- a/control/src/test/java/rv/control/MatchTest.java
+++ b/control/src/test/java/org/rowanvalve/control/MatchTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import rv.base.Hash;
+import org.rowanvalve.common.Hash;
 
 class MatchTest {
     private static Match split(final Match.Part... parts) {
--- a/control/src/test/java/rv/control/MemberListTest.java
+++ b/control/src/test/java/org/rowanvalve/control/MemberListTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Condition;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 class MemberListTest {
     private static final long LOST = 2000;
--- a/control/src/test/java/rv/control/MemoryRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/MemoryRecoveryTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,18 +11,18 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Ver;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Ver;
 
 /** A lost memory is rebuilt however long the answer with all registers takes, and the others go on voting meanwhile. */
 class MemoryRecoveryTest {
--- a/control/src/test/java/rv/control/ModelMachine.java
+++ b/control/src/test/java/org/rowanvalve/control/ModelMachine.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.HashMap;
 import java.util.List;
@@ -7,14 +7,14 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /** One machine of the model: its disk outlives its process. */
 final class ModelMachine implements Loop, Net, Disk {
--- a/control/src/test/java/rv/control/OrderCluster.java
+++ b/control/src/test/java/org/rowanvalve/control/OrderCluster.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,18 +12,18 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Timing;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Timing;
 
 /** Five processes that take orders, three of them voters with disks, on virtual time; any may end at any message. */
 final class OrderCluster {
--- a/control/src/test/java/rv/control/OrderContactTest.java
+++ b/control/src/test/java/org/rowanvalve/control/OrderContactTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.Finding;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
 
 /** A node that is cut off gives no old configuration, refuses nothing for good and acknowledges nothing. */
 class OrderContactTest {
--- a/control/src/test/java/rv/control/OrderRaceTest.java
+++ b/control/src/test/java/org/rowanvalve/control/OrderRaceTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.NodeId;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.NodeId;
 
 /** One number, one body, whoever ends on the way; a call is in force whole or not at all. */
 class OrderRaceTest {
--- a/control/src/test/java/rv/control/OrdersTest.java
+++ b/control/src/test/java/org/rowanvalve/control/OrdersTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Ver;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Ver;
 
 /** Orders under versions of the operator's own, before three electors. */
 class OrdersTest {
--- a/control/src/test/java/rv/control/PatchTest.java
+++ b/control/src/test/java/org/rowanvalve/control/PatchTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -8,11 +8,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.Finding;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Ver;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Ver;
 
 /** A call is checked whole, and each name's highest version holds. */
 class PatchTest {
--- a/control/src/test/java/rv/control/RecordGrowthTest.java
+++ b/control/src/test/java/org/rowanvalve/control/RecordGrowthTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import rv.base.Disk;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.base.Wire;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Wire;
 
 /** What it costs a keeper that lost its memory to catch up: linear in the records that stand, flat in those that stood. */
 class RecordGrowthTest {
--- a/control/src/test/java/rv/control/RegistryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/RegistryTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
 
 /** Origins that beat. */
 class RegistryTest {
--- a/control/src/test/java/rv/control/SampleValues.java
+++ b/control/src/test/java/org/rowanvalve/control/SampleValues.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.lang.reflect.Constructor;
 import java.lang.reflect.InvocationTargetException;
@@ -11,12 +11,12 @@
 import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.base.Ver;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Ver;
 
 /** Builds values of records by the order and types of their components, never by their names. */
 final class SampleValues {
--- a/control/src/test/java/rv/control/ShareStepTest.java
+++ b/control/src/test/java/org/rowanvalve/control/ShareStepTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import rv.base.Msg;
-import rv.base.NodeId;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
 
 /** Lowered and confirmed by every holder before anything is raised. */
 class ShareStepTest {
--- a/control/src/test/java/rv/control/StoredFormatTest.java
+++ b/control/src/test/java/org/rowanvalve/control/StoredFormatTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,10 +15,10 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rv.base.Code;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Wire;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Wire;
 
 /**
  * Frames between processes, rows on disk and bodies of items, as the build of the format's first release wrote them. What
--- a/control/src/test/java/rv/control/StoresTest.java
+++ b/control/src/test/java/org/rowanvalve/control/StoresTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.NodeId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.NodeId;
 
 /** One store only after the other's stated silence. */
 class StoresTest {
--- a/control/src/test/java/rv/control/SyncTest.java
+++ b/control/src/test/java/org/rowanvalve/control/SyncTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.base.NodeId;
+import org.rowanvalve.common.NodeId;
 
 class SyncTest {
     private final Voters net = new Voters();
@@ -45,7 +45,7 @@
                 net.loop,
                 net,
                 net.held,
-                new rv.base.Timing(3000, 1000, 300),
+                new org.rowanvalve.common.Timing(3000, 1000, 300),
                 net.journal,
                 net.held::merge,
                 e -> {});
--- a/data/src/test/java/rv/data/Ticks.java
+++ b/control/src/test/java/org/rowanvalve/control/Ticks.java
@@ -1,7 +1,7 @@
-package rv.data;
+package org.rowanvalve.control;
 
 import java.util.PriorityQueue;
-import rv.base.Loop;
+import org.rowanvalve.common.Loop;
 
 /** A loop on virtual time. */
 final class Ticks implements Loop {
--- a/control/src/test/java/rv/control/ViewTest.java
+++ b/control/src/test/java/org/rowanvalve/control/ViewTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.base.Ver;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Ver;
 
 /** Hosts, prefixes, purges of a host's path and of tags. */
 class ViewTest {
--- a/control/src/test/java/rv/control/VoterChangeModel.java
+++ b/control/src/test/java/org/rowanvalve/control/VoterChangeModel.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,10 +7,10 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
 
 /**
  * One run of a change of voters over the real voter, writer and electorate: virtual time, disks that outlive a crash, a
--- a/control/src/test/java/rv/control/VoterChangeModelTest.java
+++ b/control/src/test/java/org/rowanvalve/control/VoterChangeModelTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/control/src/test/java/rv/control/Voters.java
+++ b/control/src/test/java/org/rowanvalve/control/Voters.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,14 +8,14 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /** Three electors that answer at once, and one node's part of the control plane that asks them. */
 final class Voters implements Net {
@@ -33,8 +33,8 @@
     final List<Msg.Chosen> news = new ArrayList<>();
 
     final Electorate electorate = Electorate.of(new Quorum(ALL, Set.of()));
-    final FrameSync sync =
-            new FrameSync(electorate, loop, this, held, rv.base.Timing.DEFAULT, journal, held::merge, e -> {});
+    final FrameSync sync = new FrameSync(
+            electorate, loop, this, held, org.rowanvalve.common.Timing.DEFAULT, journal, held::merge, e -> {});
     final Writer writer = new Writer(
             NodeId.of("z"),
             "1",
@@ -60,7 +60,8 @@
     }
 
     void put(final ItemId id, final long ver, final Object body) {
-        held.merge(new Msg.Chosen(Ballot.ZERO, new Item(id, new rv.base.Ver(ver), Json.text(body), false, "")));
+        held.merge(new Msg.Chosen(
+                Ballot.ZERO, new Item(id, new org.rowanvalve.common.Ver(ver), Json.text(body), false, "")));
     }
 
     @Override
--- a/control/src/test/java/rv/control/WriteRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/WriteRecoveryTest.java
@@ -1,4 +1,4 @@
-package rv.control;
+package org.rowanvalve.control;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,13 +12,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.Ver;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Ver;
 
 /** After a loss of all power: hundreds of values that were accepted, and nobody knows which of them were chosen. */
 class WriteRecoveryTest {
--- a/data/src/main/java/rv/data/Answer.java
+++ b/data/src/main/java/org/rowanvalve/data/Answer.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** {@code fate}: done, refused (cannot run any more) or unknown; {@code retryMs}: when to come back, 0 where nothing is said. */
 public record Answer(int status, String fate, Map<String, String> heads, byte[] body, long retryMs) {
--- a/data/src/main/java/rv/data/AnswerCheck.java
+++ b/data/src/main/java/org/rowanvalve/data/AnswerCheck.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Map;
-import rv.base.Hash;
-import rv.control.Origin;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Origin;
 
 /** What an origin's answer must show before any caller may see it as a success. */
 public final class AnswerCheck {
--- a/data/src/main/java/rv/data/AttemptAllowance.java
+++ b/data/src/main/java/org/rowanvalve/data/AttemptAllowance.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
--- a/data/src/main/java/rv/data/Cache.java
+++ b/data/src/main/java/org/rowanvalve/data/Cache.java
@@ -1,11 +1,11 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Predicate;
-import rv.base.Mark;
+import org.rowanvalve.common.Mark;
 
 final class Cache {
     private final long room;
--- a/data/src/main/java/rv/data/CacheFlight.java
+++ b/data/src/main/java/org/rowanvalve/data/CacheFlight.java
@@ -1,7 +1,7 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
-import rv.base.Mark;
+import org.rowanvalve.common.Mark;
 
 /** One pass to the holder for all who ask for an object under one mark; the first of them asks for all. */
 record CacheFlight(Mark mark, List<EdgeRequest> waiters) {
--- a/data/src/main/java/rv/data/CachedCopy.java
+++ b/data/src/main/java/org/rowanvalve/data/CachedCopy.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Map;
-import rv.base.Mark;
-import rv.control.Match;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.control.Match;
 
 /**
  * {@code born}: when, on this clock, the fill that brought it was sent; {@code tags}: the versions of its tags' purges at
--- a/data/src/main/java/rv/data/CeilingShare.java
+++ b/data/src/main/java/org/rowanvalve/data/CeilingShare.java
@@ -1,11 +1,11 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.OptionalLong;
 import java.util.function.IntSupplier;
 import java.util.function.ToDoubleFunction;
-import rv.base.ItemId;
-import rv.base.Role;
-import rv.control.Service;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Service;
 
 /** This node's part of a service's ceiling or of its origins' rates, and when the next request may leave within it. */
 final class CeilingShare {
--- a/data/src/main/java/rv/data/ClockWatch.java
+++ b/data/src/main/java/org/rowanvalve/data/ClockWatch.java
@@ -1,12 +1,12 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.function.LongSupplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Timing;
-import rv.control.Drift;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.control.Drift;
 
 /** Ends a node's rights after a freeze, and while its clock's pace is beyond the margin. */
 final class ClockWatch {
--- a/data/src/main/java/rv/data/Departure.java
+++ b/data/src/main/java/org/rowanvalve/data/Departure.java
@@ -1,16 +1,16 @@
-package rv.data;
+package org.rowanvalve.data;
 
-import rv.base.Code;
-import rv.base.Condition;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Electorate;
-import rv.control.FrameSync;
-import rv.control.Membership;
-import rv.control.Tenure;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.FrameSync;
+import org.rowanvalve.control.Membership;
+import org.rowanvalve.control.Tenure;
 
 /** A node's orderly stop: no new callers, tenure given back, shards and vote handed over. */
 final class Departure {
--- a/data/src/main/java/rv/data/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/Edge.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,15 +7,15 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.control.ConfigView;
-import rv.control.ConfiguredRoute;
-import rv.control.Limits;
-import rv.control.Match;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Limits;
+import org.rowanvalve.control.Match;
 
 /** A request's way at an edge: the steps compiled for its route, run one by one until one answers. */
 public final class Edge {
--- a/data/src/main/java/rv/data/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/EdgeRequest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.control.ConfiguredRoute;
-import rv.control.Match;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Match;
 
 /** One request at an edge: the steps of its route, one by one until one answers, and what it shares with others. */
 final class EdgeRequest {
--- a/data/src/main/java/rv/data/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/EdgeRouting.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.function.Predicate;
-import rv.base.NodeId;
+import org.rowanvalve.common.NodeId;
 
 /** Where an edge can send what it does not answer itself. */
 public interface EdgeRouting {
--- a/data/src/main/java/rv/data/EndToEndHeaders.java
+++ b/data/src/main/java/org/rowanvalve/data/EndToEndHeaders.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Map;
 import java.util.Set;
--- a/data/src/main/java/rv/data/KeyedEntry.java
+++ b/data/src/main/java/org/rowanvalve/data/KeyedEntry.java
@@ -1,9 +1,9 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import rv.base.Msg;
+import org.rowanvalve.common.Msg;
 
 /** What a holder knows of one key, and who waits for it. */
 final class KeyedEntry {
--- a/data/src/main/java/rv/data/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/KeyedRequests.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Hash;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.control.Electorate;
-import rv.control.Holder;
-import rv.control.RecordRetention;
-import rv.control.StoreHealth;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.RecordRetention;
+import org.rowanvalve.control.StoreHealth;
 
 /** Keyed requests: the intent stands at a majority of keepers before a byte leaves for the origin. */
 public final class KeyedRequests {
--- a/data/src/main/java/rv/data/KeyedShard.java
+++ b/data/src/main/java/org/rowanvalve/data/KeyedShard.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.LongPredicate;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Token;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Token;
 
 /** The keys of one shard under one token: what is known of each, and who waits until the keepers are read. */
 final class KeyedShard implements RecordReader.Listener {
--- a/data/src/main/java/rv/data/LiveSettings.java
+++ b/data/src/main/java/org/rowanvalve/data/LiveSettings.java
@@ -1,7 +1,7 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
-import rv.base.Timing;
+import org.rowanvalve.common.Timing;
 
 /**
  * The settings of a node that may change while it runs.
--- a/data/src/main/java/rv/data/LoadExchange.java
+++ b/data/src/main/java/org/rowanvalve/data/LoadExchange.java
@@ -1,12 +1,12 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.function.Supplier;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.control.Origin;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Origin;
 
 /** Tells the other shields how many requests this one has at each origin: soon where slots are few, else now and then. */
 final class LoadExchange {
--- a/data/src/main/java/rv/data/MessageRouter.java
+++ b/data/src/main/java/org/rowanvalve/data/MessageRouter.java
@@ -1,10 +1,10 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.function.Consumer;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.control.Authority;
-import rv.control.ViewServer;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Authority;
+import org.rowanvalve.control.ViewServer;
 
 /** Brings each message to the part of the node that it is for. */
 final class MessageRouter {
--- a/data/src/main/java/rv/data/NodeCondition.java
+++ b/data/src/main/java/org/rowanvalve/data/NodeCondition.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.function.BooleanSupplier;
-import rv.base.Condition;
-import rv.base.Role;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Role;
 
 /** How ready a node is, by what it holds and hears. */
 final class NodeCondition {
--- a/data/src/main/java/rv/data/NodeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/NodeRouting.java
@@ -1,13 +1,13 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Comparator;
 import java.util.List;
-import rv.base.Condition;
-import rv.base.Member;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Electorate;
-import rv.control.Membership;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Membership;
 
 /** Where an edge's requests may go, by what its node has heard of the others. */
 final class NodeRouting implements EdgeRouting {
--- a/data/src/main/java/rv/data/OriginAttempt.java
+++ b/data/src/main/java/org/rowanvalve/data/OriginAttempt.java
@@ -1,10 +1,10 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Map;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.ItemId;
-import rv.control.Origin;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.control.Origin;
 
 /** One request sent to one origin, from the last check of its right until the answer or the end of the connection. */
 final class OriginAttempt {
--- a/data/src/main/java/rv/data/OriginDispatch.java
+++ b/data/src/main/java/org/rowanvalve/data/OriginDispatch.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,10 +7,10 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Consumer;
-import rv.base.ItemId;
-import rv.base.Loop;
-import rv.control.Origin;
-import rv.control.Service;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.control.Service;
 
 /**
  * One request on its way from this node to origins of its service: which origin next, in turn and within the share of the
--- a/data/src/main/java/rv/data/OriginLoad.java
+++ b/data/src/main/java/org/rowanvalve/data/OriginLoad.java
@@ -1,13 +1,13 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.ItemId;
-import rv.base.NodeId;
-import rv.control.Origin;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Origin;
 
 /**
  * What is known of each origin's load: this node's own requests there, other nodes' as they tell them, the load that the
--- a/data/src/main/java/rv/data/OriginRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/OriginRequest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 /**
  * One request for an origin. {@code shard}: whose right it needs, {@link #NONE} for one that needs none; {@code once}:
--- a/data/src/main/java/rv/data/OutcomeFetch.java
+++ b/data/src/main/java/org/rowanvalve/data/OutcomeFetch.java
@@ -1,11 +1,11 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.function.Consumer;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
 
 /** Fetches one outcome with its body: the next keeper is asked when one has none, or is late. */
 final class OutcomeFetch {
--- a/data/src/main/java/rv/data/Port.java
+++ b/data/src/main/java/org/rowanvalve/data/Port.java
@@ -1,9 +1,9 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.control.Origin;
+import org.rowanvalve.control.Origin;
 
 /** The way to origins. Nothing reaches an origin that is not the announced one. */
 public interface Port {
--- a/data/src/main/java/rv/data/RateLimiter.java
+++ b/data/src/main/java/org/rowanvalve/data/RateLimiter.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/data/src/main/java/rv/data/RecordReader.java
+++ b/data/src/main/java/org/rowanvalve/data/RecordReader.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,15 +8,15 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.control.Electorate;
-import rv.control.Quorum;
-import rv.control.StoreHealth;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.StoreHealth;
 
 /**
  * Reads one shard's records from the keepers of one epoch, once for a token and for each keeper's era. Each keeper is asked for
--- a/data/src/main/java/rv/data/RecordWrite.java
+++ b/data/src/main/java/org/rowanvalve/data/RecordWrite.java
@@ -1,18 +1,18 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Consumer;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.control.Electorate;
-import rv.control.Quorum;
-import rv.control.StoreHealth;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.StoreHealth;
 
 /**
  * One note on its way to the keepers: done at a majority and at every store that is heard from. Only keepers count that
--- a/data/src/main/java/rv/data/RequestAttempts.java
+++ b/data/src/main/java/org/rowanvalve/data/RequestAttempts.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 /**
  * The origins that one request of a client may still be sent to, over all nodes. The edge that took the request keeps the
--- a/data/src/main/java/rv/data/SendDemand.java
+++ b/data/src/main/java/org/rowanvalve/data/SendDemand.java
@@ -1,10 +1,10 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import rv.base.Msg;
+import org.rowanvalve.common.Msg;
 
 /** Sends that were wanted, by service and shard, since they were last asked for. */
 final class SendDemand {
--- a/data/src/main/java/rv/data/Sender.java
+++ b/data/src/main/java/org/rowanvalve/data/Sender.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,15 +10,15 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.ConfigView;
-import rv.control.Holder;
-import rv.control.Plan;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.Plan;
 
 /** Every request to an origin leaves a node through here; the right to send is checked at the last moment. */
 public final class Sender {
--- a/data/src/main/java/rv/data/Setup.java
+++ b/data/src/main/java/org/rowanvalve/data/Setup.java
@@ -1,16 +1,16 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicReference;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.control.Places;
-import rv.control.Quorum;
-import rv.control.RecordRetention;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.control.Places;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.RecordRetention;
 
 /** What a process is told about its place; {@code live} is what may change while it runs. */
 public record Setup(
--- a/data/src/main/java/rv/data/ShardRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/ShardRouting.java
@@ -1,8 +1,8 @@
-package rv.data;
+package org.rowanvalve.data;
 
-import rv.control.ConfiguredRoute;
-import rv.control.Match;
-import rv.control.Plan;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Plan;
 
 /** Which shard an object or an operation belongs to; the same on every node. */
 final class ShardRouting {
--- a/data/src/main/java/rv/data/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/Shield.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,17 +7,17 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import rv.base.Hash;
-import rv.base.Loop;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.control.ConfigView;
-import rv.control.ConfiguredRoute;
-import rv.control.Holder;
-import rv.control.Match;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.Match;
 
 /** Answers edges: from its cache, by one fill for many, straight through, or once only. */
 public final class Shield {
--- a/data/src/main/java/rv/data/ShieldForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/ShieldForwarding.java
@@ -1,18 +1,18 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Hash;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.control.ConfiguredRoute;
-import rv.control.Match;
-import rv.control.Plan;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Plan;
 
 /**
  * A request's way from an edge to shields: to the holder of its shard where a right is needed, else through any shield.
--- a/data/src/main/java/rv/data/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/StatusReport.java
@@ -1,19 +1,19 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Json;
-import rv.control.Leadership;
-import rv.control.Origin;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Leadership;
+import org.rowanvalve.control.Origin;
 
 /** What one node believes, as JSON, for operators and for the comparison of two nodes. */
 public final class StatusReport {
--- a/data/src/main/java/rv/data/VoterLinks.java
+++ b/data/src/main/java/org/rowanvalve/data/VoterLinks.java
@@ -1,20 +1,20 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import rv.base.Condition;
-import rv.base.Item;
-import rv.base.Member;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Electorate;
-import rv.control.Leadership;
-import rv.control.Membership;
-import rv.control.Voter;
-import rv.control.VoterAddress;
-import rv.control.VoterSearch;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Leadership;
+import org.rowanvalve.control.Membership;
+import org.rowanvalve.control.Voter;
+import org.rowanvalve.control.VoterAddress;
+import org.rowanvalve.control.VoterSearch;
 
 /** What the present voting set means for a node's links: where heartbeats go, and where the voters are reached. */
 final class VoterLinks {
--- a/data/src/main/java/rv/data/VoterParts.java
+++ b/data/src/main/java/org/rowanvalve/data/VoterParts.java
@@ -1,20 +1,20 @@
-package rv.data;
+package org.rowanvalve.data;
 
-import rv.base.DiskTrouble;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.NodeId;
-import rv.control.ConfigView;
-import rv.control.Electorate;
-import rv.control.ItemStore;
-import rv.control.KeyRecordStore;
-import rv.control.Membership;
-import rv.control.MonitoredDisk;
-import rv.control.RecordRetention;
-import rv.control.ViewServer;
-import rv.control.Voter;
-import rv.control.WriteRecovery;
-import rv.control.Writer;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.KeyRecordStore;
+import org.rowanvalve.control.Membership;
+import org.rowanvalve.control.MonitoredDisk;
+import org.rowanvalve.control.RecordRetention;
+import org.rowanvalve.control.ViewServer;
+import org.rowanvalve.control.Voter;
+import org.rowanvalve.control.WriteRecovery;
+import org.rowanvalve.control.Writer;
 
 /** What a node has that votes or may be called to: the voter, its records of keyed requests, and what they need. */
 final class VoterParts {
--- a/data/src/test/java/rv/data/AttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/AttemptsTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,28 +14,28 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Condition;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.base.Ver;
-import rv.control.ConfigView;
-import rv.control.Holder;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Match;
-import rv.control.Origin;
-import rv.control.Plan;
-import rv.control.Service;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Ver;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.control.Plan;
+import org.rowanvalve.control.Service;
 
 /** An edge and three real shields: to how many origins one request goes, whatever happens to messages between them. */
 class AttemptsTest {
--- a/data/src/test/java/rv/data/CacheTest.java
+++ b/data/src/test/java/org/rowanvalve/data/CacheTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.base.Mark;
+import org.rowanvalve.common.Mark;
 
 class CacheTest {
     private static final Mark M = new Mark(Map.of("p/1", 4L));
--- a/data/src/test/java/rv/data/CeilingShareTest.java
+++ b/data/src/test/java/org/rowanvalve/data/CeilingShareTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
-import rv.base.Condition;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Member;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Service;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Service;
 
 /** How much of a service's ceiling the nodes spend together, and on whose behalf. */
 class CeilingShareTest {
--- a/data/src/test/java/rv/data/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/EdgeFixture.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,24 +8,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.base.Ver;
-import rv.control.ConfigView;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Match;
-import rv.control.Plan;
-import rv.control.Service;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Ver;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Plan;
+import org.rowanvalve.control.Service;
 
 /** An edge on a loop of virtual time, whose shields answer by hand. */
 abstract class EdgeFixture {
--- a/data/src/test/java/rv/data/EdgeReadsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/EdgeReadsTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.base.Reply;
-import rv.control.Match;
-import rv.control.Purge;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Purge;
 
 /** Reads that may be kept, at an edge: one pass for all who wait, and what goes on where no holder may fill. */
 class EdgeReadsTest extends EdgeFixture {
--- a/data/src/test/java/rv/data/EdgeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/EdgeTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Condition;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Member;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Match;
-import rv.control.Origin;
-import rv.control.Plan;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.control.Plan;
 
 /** A request's way through an edge, on routes whose uncached requests may go through any shield. */
 class EdgeTest extends EdgeFixture {
--- a/data/src/test/java/rv/data/GossipTest.java
+++ b/data/src/test/java/org/rowanvalve/data/GossipTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.control.Origin;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Origin;
 
 class GossipTest {
     private static final ItemId A = new ItemId(Kind.ORIGIN, "a");
--- a/data/src/test/java/rv/data/Keepers.java
+++ b/data/src/test/java/org/rowanvalve/data/Keepers.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,19 +9,19 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import rv.base.Disk;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.base.Wire;
-import rv.control.Electorate;
-import rv.control.KeyRecordStore;
-import rv.control.MonitoredDisk;
-import rv.control.Quorum;
-import rv.control.RecordRetention;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.KeyRecordStore;
+import org.rowanvalve.control.MonitoredDisk;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.RecordRetention;
 
 /** Real record stores behind a net on virtual time that counts messages and bytes, and can be late or lose them. */
 final class Keepers implements Net {
@@ -72,7 +72,7 @@
                 RETENTION);
         try {
             k.start();
-        } catch (final rv.base.DiskTrouble e) {
+        } catch (final org.rowanvalve.common.DiskTrouble e) {
             throw new IllegalStateException(e);
         }
         stores.put(id, k);
--- a/data/src/test/java/rv/data/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/KeyedRequestsTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,24 +9,24 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Code;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Timing;
-import rv.base.Token;
-import rv.base.Ver;
-import rv.control.Holder;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Leadership;
-import rv.control.StoreHealth;
-import rv.control.VoterAddress;
-import rv.control.VoterSet;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Ver;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Leadership;
+import org.rowanvalve.control.StoreHealth;
+import org.rowanvalve.control.VoterAddress;
+import org.rowanvalve.control.VoterSet;
 
 /** How a holder reads and writes the records of its shards, against real record stores on virtual time. */
 class KeyedRequestsTest {
@@ -286,7 +286,7 @@
                 .map(id -> new VoterAddress(id, "127.0.0.1", 1).toString())
                 .toList();
         final String body = Json.text(new VoterSet(all, all));
-        keepers.stores.values().forEach(rv.control.KeyRecordStore::joined);
+        keepers.stores.values().forEach(org.rowanvalve.control.KeyRecordStore::joined);
         keepers.electorate.adopt(new Msg.Chosen(
                 new Ballot(9, "x"), new Item(ItemId.VOTERS, new Ver(keepers.electorate.epoch() + 1), body, false, "")));
     }
--- a/data/src/test/java/rv/data/PoolTest.java
+++ b/data/src/test/java/org/rowanvalve/data/PoolTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
-import rv.control.Origin;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Origin;
 
 class PoolTest {
     private static final ItemId A = new ItemId(Kind.ORIGIN, "a");
--- a/data/src/test/java/rv/data/RangeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/RangeTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
--- a/data/src/test/java/rv/data/ShieldTest.java
+++ b/data/src/test/java/org/rowanvalve/data/ShieldTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Condition;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Mark;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.base.Token;
-import rv.base.Ver;
-import rv.control.ConfigView;
-import rv.control.Holder;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Match;
-import rv.control.Service;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.common.Ver;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Match;
+import org.rowanvalve.control.Service;
 
 /** A shield that cannot do what an edge asks: how long it takes to say so, and what it says of the attempts. */
 class ShieldTest {
--- a/data/src/test/java/rv/data/WayTest.java
+++ b/data/src/test/java/org/rowanvalve/data/WayTest.java
@@ -1,4 +1,4 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,8 +8,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import rv.control.ConfiguredRoute;
-import rv.control.Match;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.Match;
 
 class WayTest {
     private static ConfiguredRoute row(final String host, final String mode) {
--- a/data/src/test/java/rv/data/Yes.java
+++ b/data/src/test/java/org/rowanvalve/data/Yes.java
@@ -1,10 +1,10 @@
-package rv.data;
+package org.rowanvalve.data;
 
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.base.Loop;
-import rv.control.Origin;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.control.Origin;
 
 /** Origins that answer all that they are sent. */
 record Yes(Loop loop, List<Port.Send> sent) implements Port {
--- a/prog/src/main/java/rv/prog/AddressParser.java
+++ b/server/src/main/java/org/rowanvalve/server/AddressParser.java
@@ -1,11 +1,11 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rv.base.NodeId;
-import rv.control.JsonShape;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.JsonShape;
 
 /** Reads {@code IP:PORT} and {@code ID@IP:PORT}; whatever is wrong becomes a fault at its place. */
 final class AddressParser {
--- a/prog/src/main/java/rv/prog/Api.java
+++ b/server/src/main/java/org/rowanvalve/server/Api.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -15,17 +15,17 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.Fields;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.control.ApiResult;
-import rv.control.Config;
-import rv.control.Json;
-import rv.data.Node;
-import rv.data.StatusReport;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Config;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.data.Node;
+import org.rowanvalve.data.StatusReport;
 
 /** What operators, origins and the platform ask of any node. */
 public final class Api extends Handler.Abstract {
--- a/prog/src/main/java/rv/prog/Circuit.java
+++ b/server/src/main/java/org/rowanvalve/server/Circuit.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -6,7 +6,7 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
-import rv.base.Wire;
+import org.rowanvalve.common.Wire;
 
 /** One TCP circuit between processes: frames are a length and a CBOR envelope. Wire thread only. */
 final class Circuit {
--- a/prog/src/main/java/rv/prog/ClientHandler.java
+++ b/server/src/main/java/org/rowanvalve/server/ClientHandler.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.nio.ByteBuffer;
 import java.util.Optional;
@@ -8,9 +8,9 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import rv.data.Answer;
-import rv.data.ClientRequest;
-import rv.data.Edge;
+import org.rowanvalve.data.Answer;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.data.Edge;
 
 /** Callers' side of an edge. */
 public final class ClientHandler extends Handler.Abstract {
--- a/prog/src/main/java/rv/prog/ConnectionLimit.java
+++ b/server/src/main/java/org/rowanvalve/server/ConnectionLimit.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/prog/src/main/java/rv/prog/CoreLoop.java
+++ b/server/src/main/java/org/rowanvalve/server/CoreLoop.java
@@ -1,9 +1,9 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.PriorityQueue;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import rv.base.Loop;
+import org.rowanvalve.common.Loop;
 
 /** The core duty: one thread, timers of its own, and one bounded ring through which all else comes in. */
 public final class CoreLoop implements Loop {
--- a/prog/src/main/java/rv/prog/Ctl.java
+++ b/server/src/main/java/org/rowanvalve/server/Ctl.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -18,7 +18,7 @@
 import org.eclipse.jetty.client.ContentResponse;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** The operators' command: 0 done, 1 different, 2 usage or could not ask, 3 refused, 4 outcome unknown. */
 public final class Ctl {
@@ -186,7 +186,8 @@
     private int purge(final String route, final String path, final String id) throws Exception {
         final boolean wide = path.endsWith("*");
         final String name = route + "-"
-                + rv.base.Hash.digest(path.getBytes(StandardCharsets.UTF_8)).substring(0, 16);
+                + org.rowanvalve.common.Hash.digest(path.getBytes(StandardCharsets.UTF_8))
+                        .substring(0, 16);
         final byte[] body = Json.text(Map.of(
                         "route", route, wide ? "prefix" : "path", wide ? path.substring(0, path.length() - 1) : path))
                 .getBytes(StandardCharsets.UTF_8);
--- a/prog/src/main/java/rv/prog/Dialect.java
+++ b/server/src/main/java/org/rowanvalve/server/Dialect.java
@@ -1,10 +1,10 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** How origins are spoken to: by which headers a request names itself, and what an answer says of itself. */
 public interface Dialect {
--- a/prog/src/main/java/rv/prog/Diff.java
+++ b/server/src/main/java/org/rowanvalve/server/Diff.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -6,7 +6,7 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import rv.base.Token;
+import org.rowanvalve.common.Token;
 
 /** Where two nodes' beliefs differ, which is newer, and whether that is lag or contradiction. */
 public final class Diff {
--- a/prog/src/main/java/rv/prog/EventLog.java
+++ b/server/src/main/java/org/rowanvalve/server/EventLog.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
@@ -7,9 +7,9 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 import org.jboss.logging.Logger;
-import rv.base.Code;
-import rv.base.Journal;
-import rv.control.Json;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.control.Json;
 
 /** The log duty: events leave by a ring; as JSON lines on standard output or through the logger. */
 public final class EventLog {
--- a/prog/src/main/java/rv/prog/Faults.java
+++ b/server/src/main/java/org/rowanvalve/server/Faults.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.server.handler.ErrorHandler;
 import org.eclipse.jetty.util.Callback;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** Malformed requests get their usual status with a JSON reason. */
 final class Faults extends ErrorHandler {
--- a/prog/src/main/java/rv/prog/Heads.java
+++ b/server/src/main/java/org/rowanvalve/server/Heads.java
@@ -1,8 +1,8 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.server.Request;
-import rv.control.Limits;
+import org.rowanvalve.control.Limits;
 
 /** The stated limit of a request's head. */
 public final class Heads {
--- a/prog/src/main/java/rv/prog/Listener.java
+++ b/server/src/main/java/org/rowanvalve/server/Listener.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -8,9 +8,9 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.util.Optional;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
 
 /** Takes up the connections that peers open; one that cannot be accepted never ends the wire. Wire thread only. */
 final class Listener {
--- a/prog/src/main/java/rv/prog/Main.java
+++ b/server/src/main/java/org/rowanvalve/server/Main.java
@@ -1,13 +1,13 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import rv.base.Code;
-import rv.base.DiskTrouble;
-import rv.base.Finding;
-import rv.base.Role;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Role;
 
 /** {@code rwstore}, {@code rwshield} and {@code rwedge}: the first word says which. */
 public final class Main {
--- a/prog/src/main/java/rv/prog/Meter.java
+++ b/server/src/main/java/org/rowanvalve/server/Meter.java
@@ -1,6 +1,6 @@
-package rv.prog;
+package org.rowanvalve.server;
 
-import rv.base.Msg;
+import org.rowanvalve.common.Msg;
 
 /** Hears of each frame that goes out or comes in, with its size; from any thread. */
 public interface Meter {
--- a/prog/src/main/java/rv/prog/NoDisk.java
+++ b/server/src/main/java/org/rowanvalve/server/NoDisk.java
@@ -1,9 +1,9 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.base.Disk;
-import rv.base.Loop;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Loop;
 
 /** For electors without a disk: their memory is the process itself. */
 public record NoDisk(Loop loop) implements Disk {
--- a/prog/src/main/java/rv/prog/OptionChecks.java
+++ b/server/src/main/java/org/rowanvalve/server/OptionChecks.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import rv.base.Finding;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.control.JsonShape;
-import rv.control.Quorum;
-import rv.control.RecordRetention;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.control.JsonShape;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.RecordRetention;
 
 /** Checks the members of the options' file and the flags as one whole; all faults are found before any is told. */
 final class OptionChecks {
--- a/prog/src/main/java/rv/prog/OptionSource.java
+++ b/server/src/main/java/org/rowanvalve/server/OptionSource.java
@@ -1,12 +1,12 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.BasicFileAttributes;
 import java.util.List;
-import rv.base.Finding;
-import rv.base.Role;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Role;
 
 /** The command line that a process was started with, from which its options can be read again. */
 public final class OptionSource {
--- a/prog/src/main/java/rv/prog/Options.java
+++ b/server/src/main/java/org/rowanvalve/server/Options.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,13 +11,13 @@
 import java.util.TreeMap;
 import joptsimple.OptionException;
 import joptsimple.OptionSet;
-import rv.base.Finding;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.control.JsonReader;
-import rv.control.Quorum;
-import rv.data.LiveSettings;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.control.JsonReader;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.data.LiveSettings;
 
 /**
  * What a process is told about its place: from a JSON file and from flags, flags first. {@code OptionFlags} lists the
--- a/prog/src/main/java/rv/prog/OriginHttpClient.java
+++ b/server/src/main/java/org/rowanvalve/server/OriginHttpClient.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import org.eclipse.jetty.client.ContinueProtocolHandler;
 import org.eclipse.jetty.client.EarlyHintsProtocolHandler;
--- a/prog/src/main/java/rv/prog/OriginPort.java
+++ b/server/src/main/java/org/rowanvalve/server/OriginPort.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
@@ -16,10 +16,10 @@
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.util.Promise;
-import rv.base.Loop;
-import rv.control.Json;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** Circuits to origins over Jetty's client. Core thread only, but for Jetty's call-backs, which post. */
 public final class OriginPort implements Port {
--- a/prog/src/main/java/rv/prog/OwnDialect.java
+++ b/server/src/main/java/org/rowanvalve/server/OwnDialect.java
@@ -1,13 +1,13 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
-import rv.control.Origin;
-import rv.data.AnswerCheck;
-import rv.data.Port;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.AnswerCheck;
+import org.rowanvalve.data.Port;
 
 /** The origin contract of docs/ORIGINS.md. */
 public final class OwnDialect implements Dialect {
--- a/prog/src/main/java/rv/prog/PlainConnector.java
+++ b/server/src/main/java/org/rowanvalve/server/PlainConnector.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
--- a/prog/src/main/java/rv/prog/ProcessComponent.java
+++ b/server/src/main/java/org/rowanvalve/server/ProcessComponent.java
@@ -1,11 +1,11 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import dagger.Component;
 import javax.inject.Singleton;
 import org.eclipse.jetty.client.HttpClient;
-import rv.base.Disk;
-import rv.base.Journal;
-import rv.data.Node;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.data.Node;
 
 /** The objects of one process, put together by Dagger. */
 @Singleton
--- a/prog/src/main/java/rv/prog/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/ProcessModule.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import dagger.Module;
 import dagger.Provides;
@@ -7,15 +7,15 @@
 import javax.inject.Singleton;
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import rv.base.Condition;
-import rv.base.Disk;
-import rv.base.Journal;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Role;
-import rv.data.Node;
-import rv.data.Port;
-import rv.data.Setup;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.data.Node;
+import org.rowanvalve.data.Port;
+import org.rowanvalve.data.Setup;
 
 /** How one process is put together. */
 @Module
--- a/prog/src/main/java/rv/prog/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/Program.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.Server;
-import rv.base.Code;
-import rv.base.DiskTrouble;
-import rv.base.Event;
-import rv.base.Net;
-import rv.base.Role;
-import rv.data.ClientRequest;
-import rv.data.Node;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.data.Node;
 
 /** One process: the planes over their real seams, with what it shows to the outside. */
 public final class Program {
--- a/prog/src/main/java/rv/prog/Rehearsal.java
+++ b/server/src/main/java/org/rowanvalve/server/Rehearsal.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -11,25 +11,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import rv.base.Condition;
-import rv.base.DiskTrouble;
-import rv.base.Journal;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Role;
-import rv.base.Timing;
-import rv.base.Wire;
-import rv.base.WireTrouble;
-import rv.control.Origin;
-import rv.control.Quorum;
-import rv.control.Service;
-import rv.data.ClientRequest;
-import rv.data.Node;
-import rv.data.Port;
-import rv.data.Setup;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.Service;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.data.Node;
+import org.rowanvalve.data.Port;
+import org.rowanvalve.data.Setup;
 
 /**
  * Two shields and one edge inside this process, with a clock, a wire and an origin of their own: what a request runs
--- a/prog/src/main/java/rv/prog/SettingsWatcher.java
+++ b/server/src/main/java/org/rowanvalve/server/SettingsWatcher.java
@@ -1,13 +1,13 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Collectors;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Finding;
-import rv.base.Journal;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Journal;
 
 /**
  * Reads the options again after SIGHUP, or once their file has changed. They are checked whole; with a fault the
--- a/prog/src/main/java/rv/prog/SqlDisk.java
+++ b/server/src/main/java/org/rowanvalve/server/SqlDisk.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Loop;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Loop;
 
 /**
  * The disk duty: one thread, one SQLite file, one synced transaction for all that waits.
--- a/prog/src/main/java/rv/prog/TcpNet.java
+++ b/server/src/main/java/org/rowanvalve/server/TcpNet.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,16 +14,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import rv.base.Code;
-import rv.base.Event;
-import rv.base.Journal;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Event;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 /** The wire duty: one selector thread for all circuits. */
 public final class TcpNet implements Net {
--- a/prog/src/main/java/rv/prog/VoterDiscovery.java
+++ b/server/src/main/java/org/rowanvalve/server/VoterDiscovery.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
@@ -10,13 +10,13 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.base.Disk;
-import rv.base.DiskTrouble;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Wire;
-import rv.base.WireTrouble;
-import rv.control.VoterAddress;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
+import org.rowanvalve.control.VoterAddress;
 
 /**
  * Who votes: the seeds, when the network is started for the first time; later what this node's disk says, or what any
--- a/prog/src/main/java/rv/prog/Warmup.java
+++ b/server/src/main/java/org/rowanvalve/server/Warmup.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -13,9 +13,9 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.util.Callback;
-import rv.base.Net;
-import rv.base.Role;
-import rv.data.ClientRequest;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.data.ClientRequest;
 
 /** Lets a rehearsal's requests run through this role's own way: an edge's door, or a shield's client for origins. */
 final class Warmup {
--- a/prog/src/test/java/rv/prog/ConnectionLimitTest.java
+++ b/server/src/test/java/org/rowanvalve/server/ConnectionLimitTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/prog/src/test/java/rv/prog/DialectTest.java
+++ b/server/src/test/java/org/rowanvalve/server/DialectTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import rv.base.Hash;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** The product's own origin contract, docs/ORIGINS.md. */
 class DialectTest {
--- a/prog/src/test/java/rv/prog/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/DocsTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,9 +13,9 @@
 import java.util.regex.Pattern;
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
-import rv.base.Code;
-import rv.base.Finding;
-import rv.control.Config;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.control.Config;
 
 /** The documents' lists and examples are held against the code. */
 class DocsTest {
--- a/prog/src/test/java/rv/prog/ForgottenConnectionTest.java
+++ b/server/src/test/java/org/rowanvalve/server/ForgottenConnectionTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -17,9 +17,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.base.Loop;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** Origins that forget idle connections sooner than they say, over real sockets and with a clock of the test's own. */
 class ForgottenConnectionTest {
--- a/prog/src/test/java/rv/prog/FullDisk.java
+++ b/server/src/test/java/org/rowanvalve/server/FullDisk.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.nio.file.Path;
 import java.sql.DriverManager;
--- a/prog/src/test/java/rv/prog/GuardTest.java
+++ b/server/src/test/java/org/rowanvalve/server/GuardTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,10 +17,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
 
 /** What one job throws ends neither its thread nor the process. */
 class GuardTest {
--- a/prog/src/test/java/rv/prog/NamelessTest.java
+++ b/server/src/test/java/org/rowanvalve/server/NamelessTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,9 +12,9 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import rv.base.Finding;
-import rv.base.NodeId;
-import rv.base.Role;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
 
 /** Options of nodes that are told addresses only. */
 class NamelessTest {
--- a/prog/src/test/java/rv/prog/OptionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/OptionsTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,9 +10,9 @@
 import org.approvaltests.Approvals;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.Finding;
-import rv.base.NodeId;
-import rv.base.Role;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
 
 class OptionsTest {
     private static final String SEEDS = "st1@127.0.0.1:7001,st2@127.0.0.2:7001,sh1@127.0.0.3:7001";
--- a/prog/src/test/java/rv/prog/OriginAnswersTest.java
+++ b/server/src/test/java/org/rowanvalve/server/OriginAnswersTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /**
  * The real pool and HTTP client against a bare socket that delays, doubles, splits, cuts and resets at every byte: each
--- a/prog/src/test/java/rv/prog/PlainDialect.java
+++ b/server/src/test/java/org/rowanvalve/server/PlainDialect.java
@@ -1,10 +1,10 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** A dialect for tests over bare sockets: a request states its id, and every answer is taken as it is. */
 class PlainDialect implements Dialect {
--- a/prog/src/test/java/rv/prog/RawPeer.java
+++ b/server/src/test/java/org/rowanvalve/server/RawPeer.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/prog/src/test/java/rv/prog/RehearsalTest.java
+++ b/server/src/test/java/org/rowanvalve/server/RehearsalTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.Finding;
-import rv.base.Role;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Role;
 
 /** A rehearsal runs whole, stays inside the process, and gives up in time. */
 class RehearsalTest {
--- a/prog/src/test/java/rv/prog/SeatingTest.java
+++ b/server/src/test/java/org/rowanvalve/server/SeatingTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -15,13 +15,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import rv.base.Disk;
-import rv.base.Finding;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.base.Wire;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.common.Wire;
 
 /** Who votes: at the first start the seeds, then what the disk says, or what others say. */
 class SeatingTest {
--- a/prog/src/test/java/rv/prog/SettingsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/SettingsTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.Finding;
-import rv.base.Journal;
-import rv.base.NodeId;
-import rv.base.Role;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
 
 /** How changed options are compared, taken and refused. */
 class SettingsTest {
--- a/prog/src/test/java/rv/prog/SilentPeerTest.java
+++ b/server/src/test/java/org/rowanvalve/server/SilentPeerTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Wire;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Wire;
 
 /** After a cut or a loss of power TCP sends again only seconds later, so what is sent next takes another connection. */
 @Timeout(60)
--- a/prog/src/test/java/rv/prog/SqlDiskTest.java
+++ b/server/src/test/java/org/rowanvalve/server/SqlDiskTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.DiskTrouble;
+import org.rowanvalve.common.DiskTrouble;
 
 class SqlDiskTest {
     @TempDir
--- a/prog/src/test/java/rv/prog/StayTest.java
+++ b/server/src/test/java/org/rowanvalve/server/StayTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.control.Origin;
-import rv.data.Port;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.Port;
 
 /** For how long a connection to an origin is used again. */
 class StayTest {
--- a/prog/src/test/java/rv/prog/TcpFramesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/TcpFramesTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 /**
  * The wire between processes against a bare socket that splits, doubles, cuts and resets frames at every byte: each
--- a/prog/src/test/java/rv/prog/TcpNetTest.java
+++ b/server/src/test/java/org/rowanvalve/server/TcpNetTest.java
@@ -1,4 +1,4 @@
-package rv.prog;
+package org.rowanvalve.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.Code;
-import rv.base.Journal;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Wire;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Wire;
 
 class TcpNetTest {
     private final CoreLoop loop = new CoreLoop();
--- a/rig/src/main/java/rv/rig/DayDraw.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/DayDraw.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import rv.rig.Script.Step;
+import org.rowanvalve.testkit.Script.Step;
 
 /** Scripts from seeds: whole days, and two troubles on top of each other. */
 public final class DayDraw {
--- a/rig/src/main/java/rv/rig/Figures.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Figures.java
@@ -1,10 +1,10 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.rig.judge.Facts;
+import org.rowanvalve.testkit.judge.Facts;
 
 /** Figures of one run: who was served when, and how long accepted changes took to be in force. */
 public final class Figures {
@@ -18,10 +18,10 @@
         final StringBuilder s = new StringBuilder();
         final List<Facts.Row> asks = facts.of("req");
         s.append("fates ")
-                .append(Rig.count(asks.stream().map(Facts.Row::map).toList(), "mode", "fate", "status"))
+                .append(count(asks.stream().map(Facts.Row::map).toList(), "mode", "fate", "status"))
                 .append('\n');
         s.append("reasons ")
-                .append(Rig.count(
+                .append(count(
                         asks.stream()
                                 .filter(r -> r.has("why"))
                                 .map(Facts.Row::map)
@@ -127,4 +127,16 @@
         }
         return s.toString().trim();
     }
+
+    private static Map<String, Long> count(final List<Map<String, Object>> rows, final String... names) {
+        final Map<String, Long> map = new TreeMap<>();
+        rows.forEach(r -> {
+            final StringBuilder key = new StringBuilder();
+            for (final String n : names) {
+                key.append(key.isEmpty() ? "" : " ").append(r.get(n));
+            }
+            map.merge(key.toString(), 1L, Long::sum);
+        });
+        return map;
+    }
 }
--- a/rig/src/main/java/rv/rig/Log.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Log.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** JSON lines on one clock: what requesters, origins, operators, nodes and the rig saw. */
 public final class Log implements AutoCloseable {
--- a/rig/src/main/java/rv/rig/Originator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Originator.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** One stand-in origin: it serves, announces itself, renews, and leaves. */
 public final class Originator {
--- a/rig/src/main/java/rv/rig/Place.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Place.java
@@ -1,11 +1,11 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /**
  * One deployment: its machines, its origins, its configuration and its mix of requests; {@code losses} shields may be
--- a/rig/src/main/java/rv/rig/Rig.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Rig.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,17 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.stream.LongStream;
 import joptsimple.OptionException;
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
-import rv.base.Finding;
-import rv.rig.fleet.Drill;
-import rv.rig.fleet.Fleet;
-import rv.rig.judge.Judge;
-import rv.rig.scale.Scale;
-import rv.rig.sim.ScriptRunner;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.testkit.fleet.Drill;
+import org.rowanvalve.testkit.fleet.Fleet;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.scale.Scale;
+import org.rowanvalve.testkit.sim.ScriptRunner;
 
 /** The rig's command line: 0 all rules kept, 1 a rule broken or a trouble missed, 2 usage. */
 public final class Rig {
@@ -33,7 +32,7 @@
     private Rig() {}
 
     public static void main(final String[] args) throws Exception {
-        rv.prog.Main.quiet();
+        org.rowanvalve.server.Main.quiet();
         final OptionParser p = new OptionParser();
         p.accepts("seeds", "one seed or a range: 1..20").withRequiredArg().defaultsTo("1");
         p.accepts("troubles", "how many troubles a day from a seed has")
@@ -188,7 +187,7 @@
             return 2;
         }
         final Path dir = set.has("dir") ? Path.of((String) set.valueOf("dir")) : Files.createTempDirectory("rwrig");
-        final Path bin = Path.of(System.getProperty("rv.bin", "bin")).toAbsolutePath();
+        final Path bin = Path.of(System.getProperty("rowanvalve.bin", "bin")).toAbsolutePath();
         final Path from =
                 set.has("from") ? Path.of((String) set.valueOf("from")).toAbsolutePath() : bin;
         if (!Files.isExecutable(from.resolve("rwstore"))) {
@@ -209,7 +208,7 @@
             return 2;
         }
         final Path dir = set.has("dir") ? Path.of((String) set.valueOf("dir")) : Path.of("scale");
-        final Path bin = Path.of(System.getProperty("rv.bin", "bin")).toAbsolutePath();
+        final Path bin = Path.of(System.getProperty("rowanvalve.bin", "bin")).toAbsolutePath();
         final Scale scale = new Scale(sizes, (Integer) set.valueOf("shards"), (Long) set.valueOf("seconds"), dir, bin);
         final List<String> lacks = scale.lacks();
         lacks.forEach(l -> System.err.println("rwrig: " + l));
@@ -239,16 +238,4 @@
         System.out.println("origin " + o.name() + " on port " + o.port());
         Thread.currentThread().join();
     }
-
-    static Map<String, Long> count(final List<Map<String, Object>> rows, final String... names) {
-        final Map<String, Long> map = new TreeMap<>();
-        rows.forEach(r -> {
-            final StringBuilder key = new StringBuilder();
-            for (final String n : names) {
-                key.append(key.isEmpty() ? "" : " ").append(r.get(n));
-            }
-            map.merge(key.toString(), 1L, Long::sum);
-        });
-        return map;
-    }
 }
--- a/rig/src/main/java/rv/rig/Script.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Script.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import rv.base.Finding;
-import rv.control.JsonReader;
-import rv.control.JsonShape;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.control.JsonReader;
+import org.rowanvalve.control.JsonShape;
 
 /** A day's troubles: what, whom, when, for how long. {@code closing}: what strikes once all others are over. */
 public record Script(String name, Place place, long seconds, List<Step> steps, List<Step> closing) {
--- a/rig/src/main/java/rv/rig/StandIn.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/StandIn.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -11,8 +11,8 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import rv.base.Hash;
-import rv.control.Json;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Json;
 
 /** A stand-in origin's HTTP side, keeping the origin contract unless told to break it. */
 public final class StandIn extends Handler.Abstract {
--- a/rig/src/main/java/rv/rig/Stock.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Stock.java
@@ -1,11 +1,11 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Hash;
-import rv.control.Json;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Json;
 
 /** A stand-in's back end: objects with revisions, and bookings that must run once. Shared by its service's origins. */
 public final class Stock {
--- a/rig/src/main/java/rv/rig/TroubleDraw.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TroubleDraw.java
@@ -1,11 +1,11 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeSet;
-import rv.rig.Script.Step;
+import org.rowanvalve.testkit.Script.Step;
 
 /** One trouble from chance: whom it strikes, for how long, in which variant. */
 final class TroubleDraw {
--- a/rig/src/main/java/rv/rig/Troubles.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/Troubles.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.rig.judge.Facts;
+import org.rowanvalve.testkit.judge.Facts;
 
 /** What each trouble did to those served and to the shards' fillers. */
 final class Troubles {
--- a/rig/src/main/java/rv/rig/fleet/Desk.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Desk.java
@@ -1,4 +1,4 @@
-package rv.rig.fleet;
+package org.rowanvalve.testkit.fleet;
 
 import java.io.IOException;
 import java.net.URI;
@@ -13,10 +13,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import rv.control.Json;
-import rv.rig.Log;
-import rv.rig.Place;
-import rv.rig.Stock;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Stock;
 
 /** Operators of a fleet over HTTP, and the back ends' own changes. */
 final class Desk {
@@ -174,7 +174,7 @@
     }
 
     private void purge(final Place.EdgeRouting w, final String path) {
-        final String name = w.route() + "-" + Long.toHexString(rv.base.Hash.mix(path));
+        final String name = w.route() + "-" + Long.toHexString(org.rowanvalve.common.Hash.mix(path));
         state(
                 "purge",
                 "purges/" + name,
--- a/rig/src/main/java/rv/rig/fleet/Drill.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Drill.java
@@ -1,4 +1,4 @@
-package rv.rig.fleet;
+package org.rowanvalve.testkit.fleet;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -8,9 +8,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import rv.base.Finding;
-import rv.rig.Originator;
-import rv.rig.Script;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.testkit.Originator;
+import org.rowanvalve.testkit.Script;
 
 /** Brings a script's troubles about on processes. */
 public final class Drill {
--- a/rig/src/main/java/rv/rig/fleet/Fleet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
@@ -1,4 +1,4 @@
-package rv.rig.fleet;
+package org.rowanvalve.testkit.fleet;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,10 +13,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import rv.rig.Log;
-import rv.rig.Originator;
-import rv.rig.Place;
-import rv.rig.Stock;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Originator;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Stock;
 
 /** A deployment's processes on one machine, with relays for links. Nothing is left behind when it closes. */
 public final class Fleet implements AutoCloseable {
--- a/rig/src/main/java/rv/rig/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
@@ -1,4 +1,4 @@
-package rv.rig.fleet;
+package org.rowanvalve.testkit.fleet;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -14,10 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import rv.base.Hash;
-import rv.control.Json;
-import rv.rig.Log;
-import rv.rig.Place;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
 
 /** Requesters of a fleet: the deployment's mix over HTTP, the platform picking edges by readiness. */
 final class LoadGenerator {
--- a/rig/src/main/java/rv/rig/fleet/Machine.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Machine.java
@@ -1,4 +1,4 @@
-package rv.rig.fleet;
+package org.rowanvalve.testkit.fleet;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/rig/src/main/java/rv/rig/judge/Rights.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Rights.java
@@ -1,4 +1,4 @@
-package rv.rig.judge;
+package org.rowanvalve.testkit.judge;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import rv.base.Token;
+import org.rowanvalve.common.Token;
 
 /** Rules on what went to origins. */
 final class Rights {
--- a/rig/src/main/java/rv/rig/judge/Runs.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Runs.java
@@ -1,4 +1,4 @@
-package rv.rig.judge;
+package org.rowanvalve.testkit.judge;
 
 import java.util.List;
 import java.util.Map;
--- a/rig/src/main/java/rv/rig/judge/Spread.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Spread.java
@@ -1,4 +1,4 @@
-package rv.rig.judge;
+package org.rowanvalve.testkit.judge;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/rig/src/main/java/rv/rig/judge/Stated.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Stated.java
@@ -1,4 +1,4 @@
-package rv.rig.judge;
+package org.rowanvalve.testkit.judge;
 
 import java.util.HashMap;
 import java.util.HashSet;
--- a/rig/src/main/java/rv/rig/scale/Herd.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Herd.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,11 +12,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Quorum;
-import rv.rig.fleet.Fleet;
-import rv.rig.fleet.Machine;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.testkit.fleet.Fleet;
+import org.rowanvalve.testkit.fleet.Machine;
 
 /** Hollow nodes in this process; the electors and one edge are processes of their own, or hollow too. */
 final class Herd implements AutoCloseable {
--- a/rig/src/main/java/rv/rig/scale/Hollow.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Hollow.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -10,22 +10,22 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
-import rv.base.Condition;
-import rv.base.DiskTrouble;
-import rv.base.Item;
-import rv.base.Journal;
-import rv.base.Member;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Role;
-import rv.control.Quorum;
-import rv.data.Node;
-import rv.data.Setup;
-import rv.prog.CoreLoop;
-import rv.prog.NoDisk;
-import rv.prog.TcpNet;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.data.Node;
+import org.rowanvalve.data.Setup;
+import org.rowanvalve.server.CoreLoop;
+import org.rowanvalve.server.NoDisk;
+import org.rowanvalve.server.TcpNet;
 
 /** A node without traffic, programs or a process of its own: the real classes over real sockets. */
 final class Hollow implements Net {
@@ -58,15 +58,15 @@
         final Journal journal = new Journal(loop, 200);
         wire = new TcpNet(id, loop, journal, seat.seeds(), Map.of(), tally);
         wire.bind(new InetSocketAddress(seat.host(), port), (f, m, b) -> {});
-        final Member self =
-                new Member(id, role, cell, seat.host(), wire.bound(), boot, Condition.PARTIAL, rv.prog.Main.VERSION);
+        final Member self = new Member(
+                id, role, cell, seat.host(), wire.bound(), boot, Condition.PARTIAL, org.rowanvalve.server.Main.VERSION);
         final Setup setup = Setup.of(self)
                 .seeds(List.copyOf(seat.seeds().keySet()))
                 .quorum(seat.quorum())
                 .shards(seat.shards())
                 .build();
-        final rv.data.Port none = (to, what, gate, then) -> {
-            then.accept(rv.data.Port.Got.none(rv.data.Port.End.NOT_SENT, "hollow"));
+        final org.rowanvalve.data.Port none = (to, what, gate, then) -> {
+            then.accept(org.rowanvalve.data.Port.Got.none(org.rowanvalve.data.Port.End.NOT_SENT, "hollow"));
             return () -> {};
         };
         node = new Node(
--- a/rig/src/main/java/rv/rig/scale/Load.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Load.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import rv.rig.fleet.Machine;
+import org.rowanvalve.testkit.fleet.Machine;
 
 /** Processor time and memory of threads, processes and the whole machine. */
 final class Load {
--- a/rig/src/main/java/rv/rig/scale/Room.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Room.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/rig/src/main/java/rv/rig/scale/Step.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Step.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Json;
-import rv.control.Purge;
-import rv.rig.fleet.Machine;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Purge;
+import org.rowanvalve.testkit.fleet.Machine;
 
 /** One size: at rest, under purges and configurations, through a rolled zone, and after a cut. */
 final class Step {
--- a/rig/src/main/java/rv/rig/scale/Tally.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Tally.java
@@ -1,11 +1,11 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
-import rv.base.Msg;
-import rv.prog.Meter;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.server.Meter;
 
 /** Frames and bytes of one node, by kind of message. */
 final class Tally implements Meter {
--- a/rig/src/main/java/rv/rig/scale/Waves.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Waves.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import java.util.Collection;
 import java.util.Map;
@@ -6,9 +6,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import rv.base.Item;
-import rv.base.Kind;
-import rv.base.NodeId;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
 
 /** How long purges and configurations take from their statement until each node, and all nodes, hold them. */
 final class Waves {
--- a/rig/src/main/java/rv/rig/sim/ConfigReader.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ConfigReader.java
@@ -1,11 +1,11 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Kind;
-import rv.base.Role;
-import rv.control.Json;
-import rv.rig.Log;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.Log;
 
 /** Reads the whole configuration back from every shield that is up. */
 final class ConfigReader {
--- a/rig/src/main/java/rv/rig/sim/CoreTroubles.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreTroubles.java
@@ -1,13 +1,13 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.rig.Script;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.testkit.Script;
 
 /** Troubles of the machines that count, in places whose shields vote: cuts among them, replacements, losses at answers. */
 final class CoreTroubles {
--- a/rig/src/main/java/rv/rig/sim/ItemOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -6,12 +6,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.rig.Log;
-import rv.rig.Place;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
 
 /** Operators, and the back ends' own changes: objects change, some are purged, routes are restated, two race. */
 public final class ItemOperator implements Operators {
@@ -169,7 +169,7 @@
     }
 
     public void purge(final String route, final String path) {
-        final String name = route + "-" + Long.toHexString(rv.base.Hash.mix(path));
+        final String name = route + "-" + Long.toHexString(org.rowanvalve.common.Hash.mix(path));
         put(
                 "purge",
                 new ItemId(Kind.PURGE, name),
@@ -179,7 +179,7 @@
     }
 
     private void sweep(final String route, final String prefix) {
-        final String name = route + "-all-" + Long.toHexString(rv.base.Hash.mix(prefix));
+        final String name = route + "-all-" + Long.toHexString(org.rowanvalve.common.Hash.mix(prefix));
         put(
                 "purge",
                 new ItemId(Kind.PURGE, name),
@@ -208,13 +208,13 @@
             return;
         }
         town.nodes().values().stream()
-                .filter(n -> n.role() == rv.base.Role.EDGE && n.alive())
+                .filter(n -> n.role() == org.rowanvalve.common.Role.EDGE && n.alive())
                 .forEach(n -> {
                     final long t = town.world().now();
                     n.post(() -> n.node()
                             .edge()
                             .take(
-                                    new rv.data.ClientRequest("GET", "/blink/1", null, new byte[0], ""),
+                                    new org.rowanvalve.data.ClientRequest("GET", "/blink/1", null, new byte[0], ""),
                                     a -> town.log()
                                             .add(Log.row(
                                                     "log",
--- a/rig/src/main/java/rv/rig/sim/LossLimit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/LossLimit.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Collection;
 import java.util.HashSet;
--- a/rig/src/main/java/rv/rig/sim/Order.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/Order.java
@@ -1,10 +1,10 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.control.Json;
+import org.rowanvalve.control.Json;
 
 /** One call of an operator: items that are set and items that are dropped. Sent again, it keeps its {@code id}. */
 record Order(long id, List<OrderItem> items) {
--- a/rig/src/main/java/rv/rig/sim/OrderClient.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderClient.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
-import rv.base.Role;
-import rv.control.ApiResult;
-import rv.control.Purge;
-import rv.rig.Log;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Purge;
+import org.rowanvalve.testkit.Log;
 
 /** Sends orders and purges to any shield, and repeats them at other ones until the answer is clear. */
 final class OrderClient {
--- a/rig/src/main/java/rv/rig/sim/OrderDraft.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderDraft.java
@@ -1,13 +1,13 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import rv.base.Kind;
-import rv.rig.Log;
-import rv.rig.Place;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
 
 /** Writes the items of orders: bodies drawn around the place's own, versions that rise in steps of unequal size. */
 final class OrderDraft {
--- a/rig/src/main/java/rv/rig/sim/OrderItem.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderItem.java
@@ -1,8 +1,8 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Map;
-import rv.base.Kind;
-import rv.rig.Log;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.testkit.Log;
 
 /** One item of an operator's order; a {@code body} of null drops it. {@code facts} go into the log beside it. */
 record OrderItem(Kind kind, String name, long version, Map<String, Object> body, Map<String, Object> facts) {
--- a/rig/src/main/java/rv/rig/sim/OrderOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderOperator.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.List;
 import java.util.Map;
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import rv.base.Kind;
-import rv.base.Role;
-import rv.control.Purge;
-import rv.data.ClientRequest;
-import rv.rig.Log;
-import rv.rig.Place;
-import rv.rig.Stock;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Purge;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Stock;
 
 /** Operators who state items under versions of their own, at any shield, and repeat a call until its answer is clear. */
 public final class OrderOperator implements Operators {
--- a/rig/src/main/java/rv/rig/sim/OriginAnnouncements.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OriginAnnouncements.java
@@ -1,11 +1,11 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.control.Origin;
-import rv.rig.Log;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.testkit.Log;
 
 /** The two ways in which origins tell of themselves. */
 final class OriginAnnouncements {
--- a/rig/src/main/java/rv/rig/sim/RightsWatch.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/RightsWatch.java
@@ -1,9 +1,9 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Map;
 import java.util.TreeMap;
-import rv.base.Role;
-import rv.rig.Log;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.testkit.Log;
 
 /** Compares all shields' rights on true time and by each shield's own clock: no two may hold one shard, frozen or not. */
 final class RightsWatch {
--- a/rig/src/main/java/rv/rig/sim/RunSummary.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/RunSummary.java
@@ -1,8 +1,8 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Map;
 import java.util.TreeMap;
-import rv.rig.Log;
+import org.rowanvalve.testkit.Log;
 
 /** The last lines of a run's log: what it cost, and what each living node holds. */
 final class RunSummary {
--- a/rig/src/main/java/rv/rig/sim/ScriptRunner.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ScriptRunner.java
@@ -1,11 +1,11 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import rv.rig.Place;
-import rv.rig.Script;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Script;
 
 /** Brings a script's troubles about in the simulator. A trouble that could not be brought about fails the run. */
 public final class ScriptRunner {
--- a/rig/src/main/java/rv/rig/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -1,17 +1,17 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import rv.base.Hash;
-import rv.base.Role;
-import rv.control.Json;
-import rv.data.Answer;
-import rv.data.ClientRequest;
-import rv.rig.Log;
-import rv.rig.Place;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.data.Answer;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
 
 /** Requesters: a steady mix, some of whom ask again. */
 public final class SimClients {
--- a/rig/src/main/java/rv/rig/sim/SimCluster.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,13 +9,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Electorate;
-import rv.control.Quorum;
-import rv.rig.Log;
-import rv.rig.Place;
-import rv.rig.Stock;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Stock;
 
 /** A whole deployment in the simulator. */
 public final class SimCluster {
--- a/rig/src/main/java/rv/rig/sim/SimDisk.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimDisk.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import rv.base.Disk;
+import org.rowanvalve.common.Disk;
 
 /** A machine's disk. What is not synced when the machine dies is gone. */
 public final class SimDisk {
--- a/rig/src/main/java/rv/rig/sim/SimNet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimNet.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Wire;
-import rv.base.WireTrouble;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.WireTrouble;
 
 /** Links with delay, jitter, stalls for lost packets, and cuts in either direction. Every message goes through the wire format. */
 public final class SimNet {
--- a/rig/src/main/java/rv/rig/sim/SimNode.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimNode.java
@@ -1,20 +1,20 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import rv.base.Condition;
-import rv.base.DiskTrouble;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Member;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Quorum;
-import rv.data.Node;
-import rv.data.Setup;
-import rv.rig.Log;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Member;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.data.Node;
+import org.rowanvalve.data.Setup;
+import org.rowanvalve.testkit.Log;
 
 /** One machine: the real node classes on virtual time, with a clock of its own. */
 public final class SimNode implements Loop {
--- a/rig/src/main/java/rv/rig/sim/SimOrigin.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigin.java
@@ -1,11 +1,11 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import rv.control.ApiResult;
-import rv.data.Port;
-import rv.rig.Log;
-import rv.rig.Stock;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.data.Port;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Stock;
 
 /** A stand-in origin on virtual time: the same contract as the one over HTTP. */
 public final class SimOrigin {
--- a/rig/src/main/java/rv/rig/sim/SimOrigins.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigins.java
@@ -1,10 +1,10 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.Collection;
 import java.util.Map;
 import java.util.TreeMap;
-import rv.rig.Place;
-import rv.rig.Stock;
+import org.rowanvalve.testkit.Place;
+import org.rowanvalve.testkit.Stock;
 
 /** A deployment's origins, and what happens to them as a group: addresses change hands, machines are replaced. */
 public final class SimOrigins {
--- a/rig/src/main/java/rv/rig/sim/SimPort.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimPort.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import rv.base.Hash;
-import rv.control.Origin;
-import rv.data.AnswerCheck;
-import rv.data.Port;
-import rv.rig.Log;
-import rv.rig.Stock;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.AnswerCheck;
+import org.rowanvalve.data.Port;
+import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.Stock;
 
 /** A shield's circuits to origins on virtual time. */
 public final class SimPort implements Port {
--- a/rig/src/main/java/rv/rig/sim/World.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/World.java
@@ -1,8 +1,8 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import java.util.PriorityQueue;
 import java.util.Random;
-import rv.base.Loop;
+import org.rowanvalve.common.Loop;
 
 /** Virtual time: one queue of events, one seed. */
 public final class World {
--- a/rig/src/test/java/rv/rig/DayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DayTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rv.base.Hash;
-import rv.control.Json;
-import rv.rig.judge.Judge;
-import rv.rig.judge.Verdict;
-import rv.rig.sim.ScriptRunner;
+import org.rowanvalve.common.Hash;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.judge.Verdict;
+import org.rowanvalve.testkit.sim.ScriptRunner;
 
 /** Whole days of troubles in the simulator, from fixed seeds. */
 class DayTest {
--- a/rig/src/test/java/rv/rig/DeskTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DeskTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,23 +12,23 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Disk;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Wire;
-import rv.control.Digest;
-import rv.control.Electorate;
-import rv.control.ItemStore;
-import rv.control.MonitoredDisk;
-import rv.control.Quorum;
-import rv.control.ViewServer;
-import rv.control.Voter;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Wire;
+import org.rowanvalve.control.Digest;
+import org.rowanvalve.control.Electorate;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.MonitoredDisk;
+import org.rowanvalve.control.Quorum;
+import org.rowanvalve.control.ViewServer;
+import org.rowanvalve.control.Voter;
 
 /** What an elector says to a node that asks whether it holds all. */
 class DeskTest {
--- a/rig/src/test/java/rv/rig/DiffTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DiffTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.control.Json;
-import rv.data.StatusReport;
-import rv.prog.Ctl;
-import rv.prog.Diff;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.data.StatusReport;
+import org.rowanvalve.server.Ctl;
+import org.rowanvalve.server.Diff;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** What two nodes believe, compared: lag, contradiction, and what cannot be asked. */
 class DiffTest {
--- a/rig/src/test/java/rv/rig/FaultTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/FaultTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.NodeId;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.control.Plan;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Plan;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** Single troubles brought about at the worst moment. */
 class FaultTest {
@@ -297,7 +297,7 @@
             ed.post(() -> ed.node()
                     .edge()
                     .take(
-                            new rv.data.ClientRequest("GET", "/terms/0", null, new byte[0], ""),
+                            new org.rowanvalve.data.ClientRequest("GET", "/terms/0", null, new byte[0], ""),
                             a -> first.add(a.status())));
             town.run(1000);
         }
@@ -308,7 +308,9 @@
         for (final String path : List.of("/stock/0", "/terms/0")) {
             ed.post(() -> ed.node()
                     .edge()
-                    .take(new rv.data.ClientRequest("GET", path, null, new byte[0], ""), a -> seen.add(a.status())));
+                    .take(
+                            new org.rowanvalve.data.ClientRequest("GET", path, null, new byte[0], ""),
+                            a -> seen.add(a.status())));
         }
         town.run(100);
         assertEquals(List.of(503, 200), seen);
--- a/rig/src/test/java/rv/rig/FoundingTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/FoundingTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** A network is founded once, whatever ends while it is. */
 class FoundingTest {
--- a/rig/src/test/java/rv/rig/GrowthTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/GrowthTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,19 +8,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** What would grow over days is dropped, on every node and disk, also on those that were away. */
 class GrowthTest {
-    private static final long LONG = Long.getLong("rv.cut", 400_000);
+    private static final long LONG = Long.getLong("rowanvalve.cut", 400_000);
 
     private static long purges(final SimNode n) {
         return n.node().held().all().stream()
--- a/rig/src/test/java/rv/rig/JudgeControlTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeControlTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.util.List;
 import java.util.Map;
--- a/rig/src/test/java/rv/rig/JudgeShieldsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeShieldsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import rv.rig.judge.Judge;
+import org.rowanvalve.testkit.judge.Judge;
 
 /** The rules for places whose shields vote: for each a clean log and ones with a breach. */
 class JudgeShieldsTest {
--- a/rig/src/test/java/rv/rig/JudgeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import rv.rig.judge.Judge;
+import org.rowanvalve.testkit.judge.Judge;
 
 /** For each rule a clean log and one with a breach. */
 class JudgeTest {
--- a/rig/src/test/java/rv/rig/KeeperTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/KeeperTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,17 +12,18 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import rv.base.Disk;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Token;
-import rv.control.KeyRecordStore;
-import rv.rig.sim.World;
+import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.KeyRecordStore;
+import org.rowanvalve.testkit.sim.World;
 
 /** The keepers of intents and outcomes. */
 class KeeperTest {
-    private static final rv.control.RecordRetention RETENTION = new rv.control.RecordRetention(60_000, () -> 0);
+    private static final org.rowanvalve.control.RecordRetention RETENTION =
+            new org.rowanvalve.control.RecordRetention(60_000, () -> 0);
     private final World world = new World(1);
     private final Loop loop = world.loop();
     private long ver;
@@ -46,20 +47,21 @@
         return keeper("st1", disk, lost, (to, msg, wait, then) -> {});
     }
 
-    private KeyRecordStore keeper(final String name, final Disk disk, final boolean lost, final rv.base.Net net)
+    private KeyRecordStore keeper(
+            final String name, final Disk disk, final boolean lost, final org.rowanvalve.common.Net net)
             throws Exception {
-        final rv.control.Quorum quorum = new rv.control.Quorum(
+        final org.rowanvalve.control.Quorum quorum = new org.rowanvalve.control.Quorum(
                 List.of(NodeId.of("st1"), NodeId.of("st2"), NodeId.of("sh1")),
                 java.util.Set.of(NodeId.of("st1"), NodeId.of("st2")));
         final KeyRecordStore k = new KeyRecordStore(
                 NodeId.of(name),
                 "b" + ++ver,
-                rv.control.Electorate.of(quorum),
+                org.rowanvalve.control.Electorate.of(quorum),
                 net,
                 loop,
                 world::now,
-                new rv.control.MonitoredDisk(disk, loop),
-                new rv.base.Journal(loop, 50),
+                new org.rowanvalve.control.MonitoredDisk(disk, loop),
+                new org.rowanvalve.common.Journal(loop, 50),
                 RETENTION);
         k.start();
         if (lost) {
@@ -103,15 +105,18 @@
                 (to, msg, wait, then) -> world.in(35, () -> {
                     ends.merge(to, msg instanceof Msg.KeepSums a && a.bar() ? 1 : 0, Integer::sum);
                     answer(others.get(to), msg, m -> {
-                        final int size = rv.base.Wire.pack(new rv.base.Wire.Envelope(1, 1, 0, to, m)).length;
+                        final int size = org.rowanvalve.common.Wire.pack(
+                                        new org.rowanvalve.common.Wire.Envelope(1, 1, 0, to, m))
+                                .length;
                         largest[0] = Math.max(largest[0], size);
                         final long took = 70 + size / 900;
                         world.in(
                                 took,
                                 () -> then.accept(
                                         took < wait
-                                                ? rv.base.Reply.of(m)
-                                                : rv.base.Reply.lost(rv.base.Reply.Trouble.NO_ANSWER)));
+                                                ? org.rowanvalve.common.Reply.of(m)
+                                                : org.rowanvalve.common.Reply.lost(
+                                                        org.rowanvalve.common.Reply.Trouble.NO_ANSWER)));
                     });
                 }));
         world.run(4000);
--- a/rig/src/test/java/rv/rig/KeyedDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/KeyedDayTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,11 +9,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.Code;
-import rv.base.NodeId;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** Keyed requests while keepers lose their disks one after the other, answers are late, and the voting set changes. */
 class KeyedDayTest {
