--- a/rig/src/test/java/rv/rig/LeaseTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,23 +9,23 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Code;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Loop;
-import rv.base.Msg;
-import rv.base.Net;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Timing;
-import rv.base.Token;
-import rv.control.Holder;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Leadership;
-import rv.rig.sim.World;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Code;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.Net;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.Holder;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Leadership;
+import org.rowanvalve.testkit.sim.World;
 
 /** The holder's side of the lease rules, on virtual time with an authority played by hand. */
 class LeaseTest {
@@ -138,22 +138,30 @@
     void aSendThatWaitedForItsPaceDoesNotLeaveWithoutTheRight() {
         answer(0);
         final ItemStore own = new ItemStore(loop, journal);
-        final rv.control.ConfigView view = new rv.control.ConfigView(own);
+        final org.rowanvalve.control.ConfigView view = new org.rowanvalve.control.ConfigView(own);
         own.merge(new Msg.Chosen(
                 new Ballot(1, "x"),
-                Item.none(new ItemId(rv.base.Kind.SERVICE, "s"))
+                Item.none(new ItemId(org.rowanvalve.common.Kind.SERVICE, "s"))
                         .next("{\"kind\":\"content\",\"rate\":4,\"bodyLimit\":9,\"cutoffMs\":2000}", "t")));
         own.merge(new Msg.Chosen(
                 new Ballot(1, "x"),
-                Item.none(new ItemId(rv.base.Kind.ORIGIN, "s1"))
+                Item.none(new ItemId(org.rowanvalve.common.Kind.ORIGIN, "s1"))
                         .next(
-                                Json.text(new rv.control.Origin("s", "h", 1, "b", "content", 0, 60_000, false, 1)),
+                                Json.text(new org.rowanvalve.control.Origin(
+                                        "s", "h", 1, "b", "content", 0, 60_000, false, 1)),
                                 "t")));
         final List<String> sent = new ArrayList<>();
-        final rv.data.Setup setup = rv.data.Setup.of(new rv.base.Member(
-                        NodeId.of("sh1"), rv.base.Role.SHIELD, "c", "127.0.0.1", 1, "b", rv.base.Condition.READY, "t"))
+        final org.rowanvalve.data.Setup setup = org.rowanvalve.data.Setup.of(new org.rowanvalve.common.Member(
+                        NodeId.of("sh1"),
+                        org.rowanvalve.common.Role.SHIELD,
+                        "c",
+                        "127.0.0.1",
+                        1,
+                        "b",
+                        org.rowanvalve.common.Condition.READY,
+                        "t"))
                 .build();
-        final rv.data.Sender sender = new rv.data.Sender(
+        final org.rowanvalve.data.Sender sender = new org.rowanvalve.data.Sender(
                 setup,
                 loop,
                 (to, msg, wait, then) -> {},
@@ -163,14 +171,14 @@
                 },
                 view,
                 holder,
-                new rv.data.Sender.Ties(() -> true, () -> false, List::of, () -> 1),
+                new org.rowanvalve.data.Sender.Ties(() -> true, () -> false, List::of, () -> 1),
                 journal);
-        final List<rv.data.Sender.Sent> ends = new ArrayList<>();
+        final List<org.rowanvalve.data.Sender.Sent> ends = new ArrayList<>();
         for (final String path : List.of("/1", "/2")) {
             sender.send(
-                    new rv.data.OriginRequest(
+                    new org.rowanvalve.data.OriginRequest(
                             3,
-                            new rv.data.Port.Send("s", "GET", path, "", null, null, "", 0),
+                            new org.rowanvalve.data.Port.Send("s", "GET", path, "", null, null, "", 0),
                             false,
                             world.now() + 2000),
                     ends::add);
@@ -184,7 +192,7 @@
         assertFalse(ends.get(0).ran());
     }
 
-    private rv.data.KeyedRequests once(final int writers, final List<Msg.Note> known) {
+    private org.rowanvalve.data.KeyedRequests once(final int writers, final List<Msg.Note> known) {
         final List<NodeId> keepers = List.of(BOSS, NodeId.of("st2"), NodeId.of("sh1"));
         final Net net = (to, msg, wait, then) -> world.in(1, () -> {
             if (msg instanceof Msg.KeepRead r) {
@@ -197,21 +205,22 @@
                                 : Reply.lost(Reply.Trouble.NO_ANSWER));
             }
         });
-        final rv.control.Quorum quorum = new rv.control.Quorum(keepers, java.util.Set.of(BOSS, keepers.get(1)));
-        return new rv.data.KeyedRequests(
-                rv.control.Electorate.of(quorum),
+        final org.rowanvalve.control.Quorum quorum =
+                new org.rowanvalve.control.Quorum(keepers, java.util.Set.of(BOSS, keepers.get(1)));
+        return new org.rowanvalve.data.KeyedRequests(
+                org.rowanvalve.control.Electorate.of(quorum),
                 loop,
                 net,
                 holder,
                 journal,
-                new rv.control.StoreHealth(quorum, loop, journal),
+                new org.rowanvalve.control.StoreHealth(quorum, loop, journal),
                 "b",
-                new rv.control.RecordRetention(60_000, () -> 0));
+                new org.rowanvalve.control.RecordRetention(60_000, () -> 0));
     }
 
     private List<String> keyed(final int writers, final List<Msg.Note> known, final int times) {
         answer(0);
-        final rv.data.KeyedRequests once = once(writers, known);
+        final org.rowanvalve.data.KeyedRequests once = once(writers, known);
         final List<String> seen = new ArrayList<>();
         for (int i = 0; i < times; i++) {
             once.take(
@@ -221,8 +230,11 @@
                     1000,
                     then -> {
                         seen.add("sent");
-                        then.accept(new rv.data.Sender.Sent(
-                                rv.data.Port.Got.none(rv.data.Port.End.LOST, "lost"), true, 0, 0));
+                        then.accept(new org.rowanvalve.data.Sender.Sent(
+                                org.rowanvalve.data.Port.Got.none(org.rowanvalve.data.Port.End.LOST, "lost"),
+                                true,
+                                0,
+                                0));
                     },
                     f -> seen.add(f.fate()));
             world.run(world.now() + 100);
@@ -249,11 +261,14 @@
     @Test
     void fourHoldersSharesAddUpToTheRateInEveryWindow() {
         final List<Long> sent = new ArrayList<>();
-        final rv.data.RateLimiter[] all = {
-            new rv.data.RateLimiter(), new rv.data.RateLimiter(), new rv.data.RateLimiter(), new rv.data.RateLimiter()
+        final org.rowanvalve.data.RateLimiter[] all = {
+            new org.rowanvalve.data.RateLimiter(),
+            new org.rowanvalve.data.RateLimiter(),
+            new org.rowanvalve.data.RateLimiter(),
+            new org.rowanvalve.data.RateLimiter()
         };
         for (long t = 0; t < 20_000; t += 5) {
-            for (final rv.data.RateLimiter p : all) {
+            for (final org.rowanvalve.data.RateLimiter p : all) {
                 final java.util.OptionalLong rest = p.take("o", 40, 0.25, 1, t, 0);
                 if (rest.isPresent()) {
                     sent.add(t);
--- a/rig/src/test/java/rv/rig/OrderDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/OrderDayTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.Json;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** Operators who race over shared items at whole nodes, with lost answers, ends and cuts. */
 class OrderDayTest {
--- a/rig/src/test/java/rv/rig/OriginPortTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/OriginPortTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
-import rv.control.Origin;
-import rv.data.AnswerCheck;
-import rv.data.Port;
-import rv.prog.CoreLoop;
-import rv.prog.OriginPort;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.data.AnswerCheck;
+import org.rowanvalve.data.Port;
+import org.rowanvalve.server.CoreLoop;
+import org.rowanvalve.server.OriginPort;
 
 /** The real way to origins against the stand-in over HTTP. */
 @Isolated
--- a/rig/src/test/java/rv/rig/PairsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PairsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rv.rig.judge.Judge;
-import rv.rig.sim.ScriptRunner;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.ScriptRunner;
 
 /** Troubles on top of each other; {@code rwrig pairs} plays all of them. */
 class PairsTest {
--- a/rig/src/test/java/rv/rig/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,27 +10,27 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Journal;
-import rv.base.Kind;
-import rv.base.Loop;
-import rv.base.Mark;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.base.Token;
-import rv.control.ConfigView;
-import rv.control.ConfiguredRoute;
-import rv.control.ItemStore;
-import rv.control.Json;
-import rv.control.Plan;
-import rv.data.Answer;
-import rv.data.ClientRequest;
-import rv.data.Edge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.World;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Journal;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.Mark;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.Token;
+import org.rowanvalve.control.ConfigView;
+import org.rowanvalve.control.ConfiguredRoute;
+import org.rowanvalve.control.ItemStore;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Plan;
+import org.rowanvalve.data.Answer;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.data.Edge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.World;
 
 /** Single parts whose rules no whole run shows by itself. */
 class PartsTest {
@@ -178,7 +178,7 @@
         assertEquals(1, asks[0], "the first is on its way");
         for (final String bad :
                 List.of("path +", "size", "nobody == 1", "[1,2].all(x, x > 0)", "path == '" + "x".repeat(400) + "'")) {
-            assertTrue(rv.control.Rule.fault(bad).isPresent(), bad);
+            assertTrue(org.rowanvalve.control.Rule.fault(bad).isPresent(), bad);
         }
     }
 
@@ -203,7 +203,8 @@
         edge.take(new ClientRequest("GET", "/s/late/1", null, null, ""), got::add);
         assertEquals("503 refused", got.get(0).status() + " " + got.get(0).fate());
         assertEquals(0, asks[0], "not even the wider route gets it");
-        final rv.control.ItemService clerk = new rv.control.ItemService(loop, held, null, null, journal, () -> "t");
+        final org.rowanvalve.control.ItemService clerk =
+                new org.rowanvalve.control.ItemService(loop, held, null, null, journal, () -> "t");
         assertTrue(
                 clerk.unfit().stream().anyMatch(f -> f.place().equals("/routes/late/service")),
                 clerk.unfit().toString());
@@ -213,25 +214,29 @@
 
     @Test
     void anAnswerMustProveStampRequestAndLength() {
-        final rv.control.Origin to = new rv.control.Origin("s", "h", 1, "b", "content", 0, 1, false, 1);
-        final rv.data.Port.Send sent = new rv.data.Port.Send("s", "GET", "/s/1", "r1", null, null, null, 1);
+        final org.rowanvalve.control.Origin to =
+                new org.rowanvalve.control.Origin("s", "h", 1, "b", "content", 0, 1, false, 1);
+        final org.rowanvalve.data.Port.Send sent =
+                new org.rowanvalve.data.Port.Send("s", "GET", "/s/1", "r1", null, null, null, 1);
         final byte[] body = "abc".getBytes();
         final Map<String, String> good = new TreeMap<>(Map.of(
-                rv.data.AnswerCheck.STAMP,
+                org.rowanvalve.data.AnswerCheck.STAMP,
                 "b",
-                rv.data.AnswerCheck.REQUEST,
+                org.rowanvalve.data.AnswerCheck.REQUEST,
                 "r1",
                 "content-length",
                 "3",
-                rv.data.AnswerCheck.DIGEST,
-                rv.base.Hash.digest(body)));
-        assertEquals("", rv.data.AnswerCheck.fault(to, sent, good, body));
+                org.rowanvalve.data.AnswerCheck.DIGEST,
+                org.rowanvalve.common.Hash.digest(body)));
+        assertEquals("", org.rowanvalve.data.AnswerCheck.fault(to, sent, good, body));
         good.forEach((k, v) -> {
             final Map<String, String> bad = new TreeMap<>(good);
             bad.put(k, v + "0");
-            assertFalse(rv.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
+            assertFalse(
+                    org.rowanvalve.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
             bad.remove(k);
-            assertFalse(rv.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
+            assertFalse(
+                    org.rowanvalve.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
         });
     }
 
@@ -322,7 +327,7 @@
     }
 
     private static long worst(final double pace, final long heldFrom, final long heldTo) {
-        final rv.control.Pace p = new rv.control.Pace(rv.base.Timing.DEFAULT);
+        final org.rowanvalve.control.Pace p = new org.rowanvalve.control.Pace(org.rowanvalve.common.Timing.DEFAULT);
         final NodeId peer = NodeId.of("sh1");
         final java.util.PriorityQueue<long[]> beats = new java.util.PriorityQueue<>(
                 (a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
@@ -368,7 +373,7 @@
 
     @Test
     void aScriptsFaultsAreToldWithTheirPlace() {
-        final List<rv.base.Finding> faults = new ArrayList<>();
+        final List<org.rowanvalve.common.Finding> faults = new ArrayList<>();
         Script.read("""
             {"name":"x","place":"coastline","seconds":10,"steps":[{"at":1,"trouble":"rain","ms":1,"who":"st1"},
              {"at":99999,"trouble":"kill","ms":1,"who":"st9"},{"at":1,"trouble":"lose-disk","ms":5,"who":"ed1"},
@@ -382,6 +387,6 @@
                         "/steps/3/who",
                         "/steps/4/at",
                         "/steps/4/who"),
-                faults.stream().map(rv.base.Finding::place).toList());
+                faults.stream().map(org.rowanvalve.common.Finding::place).toList());
     }
 }
--- a/rig/src/test/java/rv/rig/RebuildTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RebuildTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** What is accepted while an elector's memory is being rebuilt stands on its disk afterwards. */
 class RebuildTest {
--- a/rig/src/test/java/rv/rig/Removals.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import java.io.File;
 import java.io.IOException;
@@ -23,9 +23,9 @@
 import org.junit.platform.launcher.core.LauncherDiscoveryRequestBuilder;
 import org.junit.platform.launcher.core.LauncherFactory;
 import org.junit.platform.launcher.listeners.SummaryGeneratingListener;
-import rv.base.Finding;
-import rv.control.JsonReader;
-import rv.control.JsonShape;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.control.JsonReader;
+import org.rowanvalve.control.JsonShape;
 
 /**
  * Rules taken out of the source one at a time, each shown to be caught by the test that is named for it. Exit 0: all
@@ -141,7 +141,7 @@
     private static String classes() {
         return System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"))
                 + File.pathSeparator
-                + Stream.of("base", "control", "data", "prog")
+                + Stream.of("common", "control", "data", "server")
                         .map(m -> TOP.resolve(m).resolve("target/test-classes").toString())
                         .collect(java.util.stream.Collectors.joining(File.pathSeparator));
     }
@@ -165,7 +165,12 @@
     }
 
     private static Class<?> type(final String name) throws ClassNotFoundException {
-        for (final String pack : List.of("rv.rig.", "rv.data.", "rv.control.", "rv.prog.", "rv.base.")) {
+        for (final String pack : List.of(
+                "org.rowanvalve.testkit.",
+                "org.rowanvalve.data.",
+                "org.rowanvalve.control.",
+                "org.rowanvalve.server.",
+                "org.rowanvalve.common.")) {
             try {
                 return Class.forName(pack + name);
             } catch (final ClassNotFoundException e) {
--- a/rig/src/test/java/rv/rig/RemovalsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RemovalsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.Finding;
+import org.rowanvalve.common.Finding;
 
 /** Each rule has a removal; all fit the source; the quick ones are taken out here, the rest by {@code bin/rwremovals}. */
 class RemovalsTest {
@@ -49,7 +49,7 @@
         final Removals.Removal none = new Removals.Removal(
                 "none",
                 "1",
-                "data/src/main/java/rv/data/RateLimiter.java",
+                "data/src/main/java/org/rowanvalve/data/RateLimiter.java",
                 "1000.0 / (rate * share)",
                 "1000.0 / (share * rate)",
                 "LeaseTest#fourHoldersSharesAddUpToTheRateInEveryWindow");
--- a/rig/src/test/java/rv/rig/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.ApiResult;
-import rv.control.Json;
-import rv.control.Leadership;
-import rv.control.Tenure;
-import rv.data.Answer;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Leadership;
+import org.rowanvalve.control.Tenure;
+import org.rowanvalve.data.Answer;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Accepted means both stores; after power and a disk are lost together the surviving store goes on by itself. */
 class ResumeTest {
--- a/rig/src/test/java/rv/rig/ReturnTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ReturnTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** How soon a network serves again after all its power was lost. */
 class ReturnTest {
--- a/rig/src/test/java/rv/rig/SharesTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/SharesTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.Json;
-import rv.control.Plan;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Plan;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** A hot shard gets the part of a store's rate that it wants, and the ceiling holds while parts change hands. */
 class SharesTest {
--- a/rig/src/test/java/rv/rig/ShieldDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldDayTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import rv.rig.judge.Judge;
-import rv.rig.judge.Verdict;
-import rv.rig.sim.ScriptRunner;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.judge.Verdict;
+import org.rowanvalve.testkit.sim.ScriptRunner;
 
 /** Whole days of troubles of the places whose shields vote, from fixed seeds. */
 class ShieldDayTest {
--- a/rig/src/test/java/rv/rig/ShieldRunTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldRunTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -16,18 +16,18 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.Ballot;
-import rv.base.Item;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.control.Json;
-import rv.data.Answer;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.Ballot;
+import org.rowanvalve.common.Item;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.data.Answer;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** Networks without stores: three shields vote, each with a disk, and operators state versions of their own. */
 class ShieldRunTest {
--- a/rig/src/test/java/rv/rig/ShieldTrafficTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.control.Json;
-import rv.control.Origin;
-import rv.control.Purge;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Origin;
+import org.rowanvalve.control.Purge;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Networks without stores: what origins, callers and purges see of them. */
 class ShieldTrafficTest {
--- a/rig/src/test/java/rv/rig/StopTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/StopTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.data.ClientRequest;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** An edge that stops leaves nobody without an answer. */
 class StopTest {
--- a/rig/src/test/java/rv/rig/StormTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/StormTest.java
@@ -1,14 +1,14 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.control.ApiResult;
-import rv.control.Purge;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.control.Purge;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 class StormTest {
     /** There is a write under way at every moment; those that were not when the question came do not matter. */
--- a/rig/src/test/java/rv/rig/TroubleKindsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/TroubleKindsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.Finding;
-import rv.rig.sim.ScriptRunner;
+import org.rowanvalve.common.Finding;
+import org.rowanvalve.testkit.sim.ScriptRunner;
 
 /** Each kind of trouble of places whose shields vote is brought about as the scenario file says. */
 class TroubleKindsTest {
--- a/rig/src/test/java/rv/rig/VersionsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/VersionsTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,9 +14,9 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.NodeId;
-import rv.rig.judge.Judge;
-import rv.rig.sim.SimCluster;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Nodes of two versions in one network: one lacks the members that came last, the other says members unknown here. */
 class VersionsTest {
--- a/rig/src/test/java/rv/rig/WalkTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WalkTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/rv/rig/WorstTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WorstTest.java
@@ -1,4 +1,4 @@
-package rv.rig;
+package org.rowanvalve.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import rv.base.ItemId;
-import rv.base.Kind;
-import rv.control.ApiResult;
-import rv.data.ClientRequest;
-import rv.rig.judge.Judge;
-import rv.rig.judge.Verdict;
-import rv.rig.sim.SimCluster;
-import rv.rig.sim.SimNode;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Kind;
+import org.rowanvalve.control.ApiResult;
+import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.judge.Verdict;
+import org.rowanvalve.testkit.sim.SimCluster;
+import org.rowanvalve.testkit.sim.SimNode;
 
 /** Troubles put at the moment that is worst for one rule, swept over offsets and seeds. */
 class WorstTest {
@@ -111,7 +111,7 @@
             town.net().slow(12);
             town.origins().values().forEach(o -> o.fault("none", 15));
             final String key = "aimed-" + off;
-            final int shard = rv.control.Plan.shard("reserve", "reserve", key, 32);
+            final int shard = org.rowanvalve.control.Plan.shard("reserve", "reserve", key, 32);
             final String holder =
                     town.node("ed1").node().view().plan().parts().get(shard).owner();
             final String victim = who.equals("holder") ? holder : who.equals("authority") ? town.boss() : who;
@@ -167,7 +167,7 @@
                     .forEach(o -> o.kill());
             town.run(12_000);
             final String key = "again-" + seed;
-            final int shard = rv.control.Plan.shard("reserve", "reserve", key, 32);
+            final int shard = org.rowanvalve.control.Plan.shard("reserve", "reserve", key, 32);
             final String holder =
                     town.node("ed1").node().view().plan().parts().get(shard).owner();
             final List<String> got = new ArrayList<>();
--- a/rig/src/test/java/rv/rig/scale/ScaleTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
@@ -1,4 +1,4 @@
-package rv.rig.scale;
+package org.rowanvalve.testkit.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,11 +12,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import rv.base.Condition;
-import rv.base.NodeId;
-import rv.base.Role;
-import rv.control.Json;
-import rv.control.Purge;
+import org.rowanvalve.common.Condition;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Role;
+import org.rowanvalve.control.Json;
+import org.rowanvalve.control.Purge;
 
 /** A small step by counts of frames and their sizes, whatever the machine's speed. */
 class ScaleTest {
--- a/rig/src/test/java/rv/rig/sim/CircuitsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/sim/CircuitsTest.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import rv.base.ItemId;
-import rv.base.Msg;
-import rv.base.NodeId;
-import rv.base.Reply;
-import rv.rig.Place;
+import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.Reply;
+import org.rowanvalve.testkit.Place;
 
 /** What the simulator's links do to messages under way. */
 class CircuitsTest {
--- a/rig/src/test/java/rv/rig/sim/LossLimitTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/sim/LossLimitTest.java
@@ -1,4 +1,4 @@
-package rv.rig.sim;
+package org.rowanvalve.testkit.sim;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
