--- a/common/src/main/java/org/rowanvalve/common/Code.java
+++ b/common/src/main/java/org/rowanvalve/common/event/EventCode.java
@@ -1,7 +1,7 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.event;
 
 /** The numbered events; docs/EVENTS.md lists each and a test keeps the two alike. */
-public enum Code {
+public enum EventCode {
     STARTED(1001, "process started"),
     READY(1002, "process ready"),
     STOPPING(1003, "orderly stop begun"),
@@ -55,19 +55,19 @@
     RECORDS_COPIED(1707, "keyed records copied from other keepers"),
     RECORDS_BAD(1708, "page of keyed records with a wrong sum, asked again");
 
-    private final int num;
-    private final String text;
+    private final int number;
+    private final String description;
 
-    Code(final int num, final String text) {
-        this.num = num;
-        this.text = text;
+    EventCode(final int number, final String description) {
+        this.number = number;
+        this.description = description;
     }
 
-    public String tag() {
-        return "RV" + num;
+    public String id() {
+        return "RV" + number;
     }
 
-    public String text() {
-        return text;
+    public String description() {
+        return description;
     }
 }
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/AckResponse.java
@@ -0,0 +1,6 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonTypeName;
+
+@JsonTypeName("Ok")
+public record AckResponse() implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
@@ -0,0 +1,58 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.Map;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.VersionVector;
+
+/**
+ * {@code service}: which one answered, where a route is split over several; {@code unusedAttempts}: of the attempts given, how
+ * many were surely not made and never will be.
+ */
+@JsonTypeName("Filled")
+public record ForwardResponse(
+        String fate,
+        @JsonProperty("why") String reason,
+        int status,
+        FencingToken token,
+        @JsonProperty("heads") Map<String, String> headers,
+        byte[] body,
+        @JsonProperty("age") long ageMs,
+        @JsonProperty("mark") VersionVector versions,
+        @JsonProperty("retryMs") long retryAfterMs,
+        String service,
+        @JsonProperty("unused") int unusedAttempts)
+        implements Message {
+    public ForwardResponse withUnusedAttempts(final int count) {
+        return new ForwardResponse(
+                fate, reason, status, token, headers, body, ageMs, versions, retryAfterMs, service, count);
+    }
+
+    public ForwardResponse(
+            final String fate,
+            final String reason,
+            final int status,
+            final FencingToken token,
+            final Map<String, String> headers,
+            final byte[] body,
+            final long ageMs,
+            final VersionVector versions,
+            final long retryAfterMs,
+            final String service) {
+        this(fate, reason, status, token, headers, body, ageMs, versions, retryAfterMs, service, 0);
+    }
+
+    public ForwardResponse(
+            final String fate,
+            final String reason,
+            final int status,
+            final FencingToken token,
+            final Map<String, String> headers,
+            final byte[] body,
+            final long ageMs,
+            final VersionVector versions,
+            final long retryAfterMs) {
+        this(fate, reason, status, token, headers, body, ageMs, versions, retryAfterMs, null, 0);
+    }
+}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/LearnNotification.java
@@ -0,0 +1,8 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.List;
+
+@JsonTypeName("Learn")
+public record LearnNotification(@JsonProperty("list") List<ChosenItem> items) implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/MemberReport.java
@@ -0,0 +1,12 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import org.rowanvalve.common.model.Member;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+
+public record MemberReport(
+        NodeId id,
+        @JsonProperty("silence") long silenceMs,
+        @JsonProperty("condition") NodeStatus status,
+        Member member) {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -0,0 +1,67 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonInclude;
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeInfo;
+import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import java.io.IOException;
+import org.rowanvalve.common.model.NodeId;
+
+/** Packs and unpacks the messages between processes as CBOR. */
+public final class MessageCodec {
+    public static final int PROTOCOL_VERSION = 1;
+    public static final int MAX_FRAME_BYTES = 4 << 20;
+    private static final ObjectMapper MAPPER = createMapper();
+
+    private MessageCodec() {}
+
+    /** One frame: the format's version, the message's id, and the id of the message that it answers. */
+    public record Frame(
+            @JsonProperty("v") int version,
+            long id,
+            @JsonProperty("re") long inReplyTo,
+            NodeId from,
+            @JsonProperty("msg") Message message) {}
+
+    private static ObjectMapper createMapper() {
+        final CBORMapper map = CBORMapper.builder()
+                .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                .serializationInclusion(JsonInclude.Include.NON_NULL)
+                .build();
+        map.addMixIn(Message.class, Typed.class);
+        map.registerSubtypes(Message.class.getPermittedSubclasses());
+        return map;
+    }
+
+    @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
+    private interface Typed {}
+
+    public static byte[] encode(final Object o) {
+        try {
+            return MAPPER.writeValueAsBytes(o);
+        } catch (final IOException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    public static <T> T decode(final byte[] data, final Class<T> type) throws MessageFormatException {
+        try {
+            return MAPPER.readValue(data, type);
+        } catch (final IOException | IllegalArgumentException e) {
+            throw new MessageFormatException("cannot read a " + type.getSimpleName(), e);
+        }
+    }
+
+    public static Frame decodeFrame(final byte[] data) throws MessageFormatException {
+        final Frame e = decode(data, Frame.class);
+        if (e.version() != PROTOCOL_VERSION) {
+            throw new MessageFormatException("envelope version " + e.version() + " is not spoken here", null);
+        }
+        if (e.message() == null || e.from() == null) {
+            throw new MessageFormatException("envelope lacks a member", null);
+        }
+        return e;
+    }
+}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/MissingItemsRequest.java
@@ -0,0 +1,14 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.List;
+import java.util.Map;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.Version;
+
+@JsonTypeName("Vers")
+public record MissingItemsRequest(
+        long epoch,
+        @JsonProperty("cells") List<Integer> buckets,
+        @JsonProperty("vers") Map<ItemId, Version> versions) implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordHandoverResponse.java
@@ -0,0 +1,11 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.Map;
+import org.rowanvalve.common.model.FencingToken;
+
+/** {@code tokenFloors}: by shard the highest token that the voter was read with. */
+@JsonTypeName("HandedRecords")
+public record RecordHandoverResponse(
+        @JsonProperty("bars") Map<Integer, FencingToken> tokenFloors, RecordPageResponse page) implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordPageResponse.java
@@ -0,0 +1,14 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.List;
+
+/** {@code checksum}: over the records of this page; {@code nextKey}: the last key given, or none after the last page. */
+@JsonTypeName("KeptCells")
+public record RecordPageResponse(
+        @JsonProperty("ok") boolean complete,
+        @JsonProperty("notes") List<AgedRecord> records,
+        @JsonProperty("sum") long checksum,
+        @JsonProperty("next") String nextKey)
+        implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordReadResponse.java
@@ -0,0 +1,20 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.List;
+import org.rowanvalve.common.model.FencingToken;
+
+/**
+ * {@code highestToken}: the highest token this keeper was read with, above the asker's where that is barred; {@code nextKey}: what
+ * to ask the next page with, or none after the last. A keeper in a lapse gives no notes.
+ */
+@JsonTypeName("Kept")
+public record RecordReadResponse(
+        @JsonProperty("ok") boolean granted,
+        @JsonProperty("lapse") boolean incomplete,
+        @JsonProperty("high") FencingToken highestToken,
+        @JsonProperty("notes") List<KeyedRecord> records,
+        long era,
+        @JsonProperty("next") String nextKey)
+        implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverResponse.java
@@ -0,0 +1,20 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import com.fasterxml.jackson.annotation.JsonTypeName;
+import java.util.List;
+import java.util.Map;
+import org.rowanvalve.common.model.NodeId;
+
+/** {@code epoch}: the last one the answering voter voted in; {@code nextBucket}: the first cell of the next page. */
+@JsonTypeName("HandedOver")
+public record RegisterHandoverResponse(
+        long epoch,
+        @JsonProperty("floor") long ballotFloor,
+        @JsonProperty("lives") long resumptions,
+        Map<NodeId, String> founders,
+        @JsonProperty("slots") List<Register> registers,
+        @JsonProperty("next") int nextBucket)
+        implements Message {
+    public static final int LAST_PAGE = -1;
+}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/message/StatusResponse.java
@@ -0,0 +1,6 @@
+package org.rowanvalve.common.message;
+
+import com.fasterxml.jackson.annotation.JsonTypeName;
+
+@JsonTypeName("Reported")
+public record StatusResponse(String json) implements Message {}
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
@@ -0,0 +1,30 @@
+package org.rowanvalve.common.model;
+
+/** A fencing token: the term of the authority that gave it, and a count within the plan. */
+public record FencingToken(long term, long count) implements Comparable<FencingToken> {
+    public static final FencingToken ZERO = new FencingToken(0, 0);
+
+    public FencingToken next(final long now) {
+        return new FencingToken(Math.max(term, now), count + 1);
+    }
+
+    public boolean isBelow(final FencingToken o) {
+        return compareTo(o) < 0;
+    }
+
+    @Override
+    public int compareTo(final FencingToken o) {
+        final int c = Long.compare(term, o.term);
+        return c != 0 ? c : Long.compare(count, o.count);
+    }
+
+    @Override
+    public String toString() {
+        return term + "." + count;
+    }
+
+    public static FencingToken parse(final String text) {
+        final int dot = text.indexOf('.');
+        return new FencingToken(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
+    }
+}
--- a/common/src/main/java/org/rowanvalve/common/Hash.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Hash.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -9,7 +9,7 @@
 public final class Hash {
     private Hash() {}
 
-    public static long mix(final String text) {
+    public static long hash64(final String text) {
         long h = 0xcbf29ce484222325L;
         for (final byte b : text.getBytes(StandardCharsets.UTF_8)) {
             h = (h ^ (b & 0xff)) * 0x100000001b3L;
@@ -21,7 +21,7 @@
         return h ^ (h >>> 33);
     }
 
-    public static String digest(final byte[] data) {
+    public static String sha256Hex(final byte[] data) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(data));
         } catch (final NoSuchAlgorithmException e) {
--- a/common/src/main/java/org/rowanvalve/common/ItemId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemId.java
@@ -1,22 +1,22 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /** The identity of one register: its kind and its name. */
-public record ItemId(Kind kind, String name) implements Comparable<ItemId> {
-    public static final ItemId PLAN = new ItemId(Kind.PLAN, "plan");
-    public static final ItemId TENURE = new ItemId(Kind.TENURE, "tenure");
+public record ItemId(ItemKind kind, String name) implements Comparable<ItemId> {
+    public static final ItemId PLAN = new ItemId(ItemKind.PLAN, "plan");
+    public static final ItemId LEADERSHIP = new ItemId(ItemKind.LEADERSHIP, "tenure");
     /** Its version is the epoch of the voting set that it names. */
-    public static final ItemId VOTERS = new ItemId(Kind.VOTERS, "voters");
+    public static final ItemId VOTERS = new ItemId(ItemKind.VOTERS, "voters");
 
     /** Decides operators' calls. */
-    public static final ItemId LEDGER = new ItemId(Kind.LEDGER, "orders");
+    public static final ItemId LEDGER = new ItemId(ItemKind.LEDGER, "orders");
 
     @JsonCreator
     public static ItemId parse(final String text) {
         final int cut = text.indexOf('/');
-        return new ItemId(Kind.ofCode(text.substring(0, cut)), text.substring(cut + 1));
+        return new ItemId(ItemKind.ofCode(text.substring(0, cut)), text.substring(cut + 1));
     }
 
     @JsonValue
--- a/common/src/main/java/org/rowanvalve/common/Kind.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
@@ -1,17 +1,17 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import java.util.Locale;
 import java.util.Optional;
 
 /** The kinds of replicated items. */
-public enum Kind {
+public enum ItemKind {
     ROUTE("ROUTE"),
     SERVICE("SERVICE"),
     PURGE("PURGE"),
     ORIGIN("ORIGIN"),
     PLAN("PLAN"),
-    TENURE("TENURE"),
-    SWEEP("SWEEP"),
+    LEADERSHIP("TENURE"),
+    COLLECTION("SWEEP"),
     LIMIT("LIMIT"),
     /** Which number of each item was taken with which body; written by the order sequencer only. */
     LEDGER("LEDGER"),
@@ -19,7 +19,7 @@
 
     private final String code;
 
-    Kind(final String code) {
+    ItemKind(final String code) {
         this.code = code;
     }
 
@@ -28,8 +28,8 @@
         return code;
     }
 
-    public static Kind ofCode(final String code) {
-        for (final Kind kind : values()) {
+    public static ItemKind ofCode(final String code) {
+        for (final ItemKind kind : values()) {
             if (kind.code.equals(code)) {
                 return kind;
             }
@@ -37,23 +37,23 @@
         throw new IllegalArgumentException("no kind of item is named " + code);
     }
 
-    public String word() {
+    public String label() {
         return code.toLowerCase(Locale.ROOT);
     }
 
     /** Versions of such a kind come from one count for all its items. */
-    public boolean rising() {
+    public boolean sharesVersionCounter() {
         return this == PURGE || this == ORIGIN;
     }
 
-    public boolean stated() {
+    public boolean isOperatorDefined() {
         return this == ROUTE || this == SERVICE || this == PURGE || this == LIMIT;
     }
 
-    public static Optional<Kind> of(final String word) {
-        for (final Kind k : values()) {
-            if (k.word().equals(word) || (k.word() + "s").equals(word)) {
-                return Optional.of(k);
+    public static Optional<ItemKind> of(final String word) {
+        for (final ItemKind kind : values()) {
+            if (kind.label().equals(word) || (kind.label() + "s").equals(word)) {
+                return Optional.of(kind);
             }
         }
         return Optional.empty();
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
@@ -0,0 +1,54 @@
+package org.rowanvalve.common.model;
+
+/** D, M, the greatest age of a frame, and the beats derived from them, in milliseconds. */
+public record LeaseTimings(long leaseMs, long marginMs, long maxViewAgeMs) {
+    public static final LeaseTimings DEFAULT = new LeaseTimings(3000, 1000);
+
+    public LeaseTimings {
+        if (maxViewAgeMs < 200) {
+            throw new IllegalArgumentException("a frame's age below 200");
+        }
+        if (leaseMs < 3000) {
+            throw new IllegalArgumentException("D below 3000");
+        }
+        if (marginMs < Math.max(1000, leaseMs / 10)) {
+            throw new IllegalArgumentException("M below max(1000, D/10)");
+        }
+        if (leaseMs - marginMs < 2 * (leaseMs / 3)) {
+            throw new IllegalArgumentException("M leaves no room for a second renewal");
+        }
+    }
+
+    public LeaseTimings(final long leaseMs, final long marginMs) {
+        this(leaseMs, marginMs, 1500);
+    }
+
+    public long renewIntervalMs() {
+        return leaseMs / 3;
+    }
+
+    public long validUntil(final long sentAt) {
+        return sentAt + leaseMs - marginMs;
+    }
+
+    public long regrantTime(final long grantedAt) {
+        return grantedAt + leaseMs + 2 * marginMs;
+    }
+
+    /** Tenure is a lease of its own: how long one renewal lasts, and the margin within it. */
+    public long leadershipLeaseMs() {
+        return 1600;
+    }
+
+    public long leadershipMarginMs() {
+        return 450;
+    }
+
+    public long heartbeatIntervalMs() {
+        return 500;
+    }
+
+    public long failureTimeoutMs() {
+        return 2000;
+    }
+}
--- a/common/src/main/java/org/rowanvalve/common/NodeId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/NodeId.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
--- a/common/src/main/java/org/rowanvalve/common/Condition.java
+++ b/common/src/main/java/org/rowanvalve/common/model/NodeStatus.java
@@ -1,17 +1,17 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /** How a member describes itself in its heartbeats. */
-public enum Condition {
+public enum NodeStatus {
     READY("READY"),
     PARTIAL("PARTIAL"),
     UNREADY("UNREADY"),
-    LEAVING("LEAVING");
+    DRAINING("LEAVING");
 
     private final String code;
 
-    Condition(final String code) {
+    NodeStatus(final String code) {
         this.code = code;
     }
 
--- a/common/src/main/java/org/rowanvalve/common/Role.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Role.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.common;
+package org.rowanvalve.common.model;
 
 import java.util.Locale;
 
@@ -8,7 +8,7 @@
     SHIELD,
     EDGE;
 
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- /dev/null
+++ b/common/src/main/java/org/rowanvalve/common/runtime/Transport.java
@@ -0,0 +1,27 @@
+package org.rowanvalve.common.runtime;
+
+import java.util.Collection;
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.NodeId;
+
+/** The transport between processes: requests that are answered, and one-way messages. */
+public interface Transport {
+    void request(NodeId to, Message msg, long wait, Consumer<Reply> then);
+
+    /** One-way: nothing is heard of it, and it may be lost. */
+    default void send(final NodeId to, final Message msg) {
+        request(to, msg, 300, reply -> {});
+    }
+
+    default void send(final Collection<NodeId> to, final Message msg) {
+        to.forEach(node -> send(node, msg));
+    }
+
+    /** Receives the messages that other nodes send to this one. */
+    @FunctionalInterface
+    interface Handler {
+        void handle(NodeId from, Message msg, Consumer<Message> back);
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/Places.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package org.rowanvalve.control;
-
-/** The places that shards belong to. */
-public interface Places {
-    int at(String cell);
-
-    int count();
-}
--- a/control/src/main/java/org/rowanvalve/control/Purge.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Purge.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.config;
 
 /** Names a route's path or prefix, or a host's path, or a tag that origins gave their answers. */
 public record Purge(String route, String path, String prefix, String host, String tag) {
@@ -7,7 +7,7 @@
     }
 
     /** Of a host's path or of a tag, so of no route. */
-    public boolean wide() {
+    public boolean isHostOrTag() {
         return route == null;
     }
 }
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/config/RequestLimits.java
@@ -0,0 +1,30 @@
+package org.rowanvalve.control.config;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.Optional;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.json.Json;
+
+/** What a caller may send and how long it may take, in bytes and milliseconds; {@code note}: the operator's own words. */
+public record RequestLimits(
+        @JsonProperty("headBytes") int headerBytes,
+        int bodyBytes,
+        @JsonProperty("headMs") long headerTimeoutMs,
+        @JsonProperty("idleMs") long idleTimeoutMs,
+        String note) {
+    public static final ItemId ID = new ItemId(ItemKind.LIMIT, "limits");
+    public static final RequestLimits DEFAULTS = new RequestLimits(8192, 1 << 20, 30_000, 30_000, "");
+
+    public RequestLimits {
+        note = note == null ? "" : note;
+    }
+
+    public static RequestLimits of(final Item item) {
+        return Optional.of(item)
+                .filter(Item::exists)
+                .map(i -> Json.read(i.body(), RequestLimits.class))
+                .orElse(DEFAULTS);
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/Match.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Route.java
@@ -1,49 +1,50 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.config;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 import java.util.stream.Stream;
 
 /**
  * A route: which paths of a host go to which service, and how. {@code service} takes all where {@code split} is empty;
- * {@code any}: what needs no right to fill may go through any shield; {@code rank}: 0 is refused last; {@code tries}:
+ * {@code anyShield}: what needs no right to fill may go through any shield; {@code priority}: 0 is refused last; {@code maxAttempts}:
  * origins that one request may be sent to; {@code note}: the operator's own words, kept as they came.
  */
-public record Match(
+public record Route(
         String prefix,
         String service,
         String mode,
-        long lifetimeMs,
+        @JsonProperty("lifetimeMs") long ttlMs,
         boolean purgeable,
-        String when,
+        @JsonProperty("when") String condition,
         String host,
-        List<Part> split,
-        boolean any,
+        List<WeightedService> split,
+        @JsonProperty("any") boolean anyShield,
         long timeoutMs,
-        long aimMs,
-        int rank,
-        int tries,
+        @JsonProperty("aimMs") long latencyTargetMs,
+        @JsonProperty("rank") int priority,
+        @JsonProperty("tries") int maxAttempts,
         String note) {
     public static final String CACHED = "cached";
     public static final String STATUS = "status";
-    public static final String ONCE = "once";
-    public static final String SINGLE = "single";
+    public static final String KEYED = "once";
+    public static final String AT_MOST_ONCE = "single";
 
     /** One service of a route that is split over several, with its weight. */
-    public record Part(String service, int weight) {}
+    public record WeightedService(String service, int weight) {}
 
-    public Match {
-        when = when == null ? "" : when;
+    public Route {
+        condition = condition == null ? "" : condition;
         host = host == null ? "" : host;
         split = split == null ? List.of() : List.copyOf(split);
-        tries = tries <= 0 ? 3 : tries;
+        maxAttempts = maxAttempts <= 0 ? 3 : maxAttempts;
         note = note == null ? "" : note;
     }
 
-    public boolean takes(final String path) {
+    public boolean matches(final String path) {
         return path.startsWith(prefix);
     }
 
-    public boolean is(final String word) {
+    public boolean hasMode(final String word) {
         return mode.equals(word);
     }
 
@@ -51,24 +52,28 @@
     public List<String> services() {
         return split.isEmpty()
                 ? List.of(service)
-                : split.stream().filter(p -> p.weight() > 0).map(Part::service).toList();
+                : split.stream()
+                        .filter(p -> p.weight() > 0)
+                        .map(WeightedService::service)
+                        .toList();
     }
 
     /** All services that it names, also those that get nothing now. */
-    public List<String> named() {
-        return Stream.concat(Stream.of(service), split.stream().map(Part::service))
+    public List<String> namedServices() {
+        return Stream.concat(Stream.of(service), split.stream().map(WeightedService::service))
                 .distinct()
                 .toList();
     }
 
     /** One of them by weight; {@code roll} is any number. */
-    public String pick(final long roll) {
+    public String pickService(final long roll) {
         if (split.isEmpty()) {
             return service;
         }
         long at = Long.remainderUnsigned(
-                roll, Math.max(1, split.stream().mapToLong(Part::weight).sum()));
-        for (final Part p : split) {
+                roll,
+                Math.max(1, split.stream().mapToLong(WeightedService::weight).sum()));
+        for (final WeightedService p : split) {
             if (at < p.weight()) {
                 return p.service();
             }
@@ -78,7 +83,7 @@
     }
 
     /** What names an object or an operation on every node, whatever route takes it now. */
-    public String slot(final String name, final String target) {
+    public String cacheKeyOf(final String name, final String target) {
         return host.isEmpty() ? name + "|" + target : host + "|" + target;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/Rule.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.config;
 
 import dev.cel.common.CelOptions;
 import dev.cel.common.CelValidationException;
@@ -13,20 +13,20 @@
 import java.util.Optional;
 
 /** A route's condition on a request, in CEL without macros: no loops, so its cost is bounded by its length and the request's. */
-public final class Rule {
-    public static final int LONGEST = 400;
+public final class RouteCondition {
+    public static final int MAX_LENGTH = 400;
     private final CelRuntime.Program program;
 
-    /** What a condition says of one request; {@code UNSURE} where it cannot be evaluated. */
-    public enum Verdict {
+    /** What a condition says of one request; {@code UNDECIDED} where it cannot be evaluated. */
+    public enum Result {
         HOLDS,
-        FAILS,
-        UNSURE
+        DOES_NOT_HOLD,
+        UNDECIDED
     }
 
-    private static final class Lib {
+    private static final class CelEnvironment {
         private static final CelOptions OPTIONS = CelOptions.current()
-                .maxExpressionCodePointSize(LONGEST)
+                .maxExpressionCodePointSize(MAX_LENGTH)
                 .maxParseRecursionDepth(32)
                 .build();
         private static final CelCompiler COMPILER = CelCompilerFactory.standardCelCompilerBuilder()
@@ -43,16 +43,16 @@
                 .build();
     }
 
-    private Rule(final CelRuntime.Program program) {
+    private RouteCondition(final CelRuntime.Program program) {
         this.program = program;
     }
 
     /** What is wrong with an expression, or nothing. */
-    public static Optional<String> fault(final String text) {
-        if (text.length() > LONGEST) {
-            return Optional.of("at most " + LONGEST + " characters");
+    public static Optional<String> error(final String text) {
+        if (text.length() > MAX_LENGTH) {
+            return Optional.of("at most " + MAX_LENGTH + " characters");
         }
-        final CelValidationResult r = Lib.COMPILER.compile(text);
+        final CelValidationResult r = CelEnvironment.COMPILER.compile(text);
         return r.hasError()
                 ? Optional.of(r.getErrorString()
                         .lines()
@@ -63,15 +63,16 @@
     }
 
     /** Of an expression that was found sound; one of a later version that is not sound here judges nothing. */
-    public static Rule of(final String text) {
+    public static RouteCondition of(final String text) {
         try {
-            return new Rule(Lib.RUNTIME.createProgram(Lib.COMPILER.compile(text).getAst()));
+            return new RouteCondition(CelEnvironment.RUNTIME.createProgram(
+                    CelEnvironment.COMPILER.compile(text).getAst()));
         } catch (final CelValidationException | CelEvaluationException e) {
-            return new Rule(null);
+            return new RouteCondition(null);
         }
     }
 
-    public Verdict judge(final String method, final String target, final String key, final int size) {
+    public Result evaluate(final String method, final String target, final String key, final int size) {
         final int cut = target.indexOf('?');
         try {
             final Object got = program == null
@@ -87,9 +88,9 @@
                             key == null ? "" : key,
                             "size",
                             (long) size));
-            return got instanceof Boolean b ? b ? Verdict.HOLDS : Verdict.FAILS : Verdict.UNSURE;
+            return got instanceof Boolean b ? b ? Result.HOLDS : Result.DOES_NOT_HOLD : Result.UNDECIDED;
         } catch (final CelEvaluationException e) {
-            return Verdict.UNSURE;
+            return Result.UNDECIDED;
         }
     }
 }
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/config/Service.java
@@ -0,0 +1,28 @@
+package org.rowanvalve.control.config;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+
+/**
+ * {@code ratePerOrigin}: requests a second for each origin; {@code rateLimit}: for all of them together, 0 where there is none;
+ * {@code connectionLimit}: connections that an origin takes from all callers; {@code note}: the operator's own words.
+ */
+public record Service(
+        String kind,
+        @JsonProperty("rate") double ratePerOrigin,
+        int bodyLimit,
+        @JsonProperty("cutoffMs") long timeoutMs,
+        @JsonProperty("ceiling") double rateLimit,
+        @JsonProperty("circuits") int connectionLimit,
+        String note) {
+    public static final String CONTENT = "content";
+    public static final String BOOKING = "booking";
+    public static final String OPEN = "open";
+
+    public Service {
+        note = note == null ? "" : note;
+    }
+
+    public boolean isContent() {
+        return CONTENT.equals(kind);
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
@@ -0,0 +1,77 @@
+package org.rowanvalve.control.consensus;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.StableStorage;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.control.voting.StoreHealth;
+
+/**
+ * A disk that knows how long it has been behind, so that its owner can say so instead of keeping others waiting. Rows
+ * that could not be saved are owed: they go along with whatever is saved next, so that a yes covers all before it.
+ */
+public final class MonitoredStorage implements StableStorage {
+    private static final long PROBE_INTERVAL_MS = 300;
+    private final StableStorage delegate;
+    private final EventLoop loop;
+    private final TreeMap<Long, Long> pendingWrites = new TreeMap<>();
+    private final Map<String, byte[]> unsavedRows = new HashMap<>();
+    private final Map<String, Long> lastWriteOf = new HashMap<>();
+    private long serial;
+    private long failingSince = -1;
+    private long lastTriedAt;
+
+    public MonitoredStorage(final StableStorage delegate, final EventLoop loop) {
+        this.delegate = delegate;
+        this.loop = loop;
+    }
+
+    /** Stalled or failing for the stated time; one that fails is still tried now and then. */
+    public boolean isStalled() {
+        final long now = loop.now();
+        final boolean slow = !pendingWrites.isEmpty()
+                && now - pendingWrites.firstEntry().getValue() >= StoreHealth.SILENCE_TIMEOUT_MS;
+        return slow
+                || failingSince >= 0
+                        && now - failingSince >= StoreHealth.SILENCE_TIMEOUT_MS
+                        && now - lastTriedAt < PROBE_INTERVAL_MS;
+    }
+
+    @Override
+    public Map<String, byte[]> load() throws StorageException {
+        return delegate.load();
+    }
+
+    @Override
+    public void save(final Map<String, byte[]> rows, final Consumer<Boolean> done) {
+        final long write = ++serial;
+        final Map<String, byte[]> combined = new HashMap<>(unsavedRows);
+        combined.putAll(rows);
+        unsavedRows.clear();
+        combined.keySet().forEach(key -> lastWriteOf.put(key, write));
+        lastTriedAt = loop.now();
+        pendingWrites.put(write, lastTriedAt);
+        delegate.save(combined, ok -> {
+            pendingWrites.remove(write);
+            combined.forEach((key, value) -> {
+                if (lastWriteOf.remove(key, write) && !ok) {
+                    unsavedRows.put(key, value);
+                }
+            });
+            failingSince = ok ? -1 : failingSince < 0 ? loop.now() : failingSince;
+            if (!ok) {
+                loop.schedule(PROBE_INTERVAL_MS, this::retryUnsaved);
+            }
+            done.accept(ok);
+        });
+    }
+
+    private void retryUnsaved() {
+        if (!unsavedRows.isEmpty() && pendingWrites.isEmpty()) {
+            save(Map.of(), ok -> {});
+        }
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
@@ -0,0 +1,369 @@
+package org.rowanvalve.control.consensus;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.AcceptRequest;
+import org.rowanvalve.common.message.AcceptResponse;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.LearnNotification;
+import org.rowanvalve.common.message.PrepareRequest;
+import org.rowanvalve.common.message.PrepareResponse;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.StoreHealth;
+import org.rowanvalve.control.voting.VotingConfiguration;
+
+/** Proposes changes to registers: prepare at a majority, apply, accept at a majority with a store, tell all. */
+public final class Proposer {
+    /** Two that keep overtaking each other must draw from more than a round takes, at most so long. */
+    private static final long MAX_CONTENTION_DELAY_MS = 400;
+
+    private static final Set<ItemId> PRE_PROMISED = Set.of(ItemId.LEADERSHIP, ItemId.PLAN, ItemId.LEDGER);
+    private final VotingConfiguration votingConfiguration;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final Random random;
+    private final EventJournal journal;
+    private final String proposerId;
+    private final ItemStore items;
+    private final Supplier<List<NodeId>> learners;
+    private final StoreHealth storeHealth;
+    private final Map<ItemId, PreparedBallot> preparedBallots = new HashMap<>();
+    private long highestRound;
+
+    /** A ballot that a majority promised when it accepted this value: the next write need not prepare. */
+    private record PreparedBallot(Ballot ballot, Item item) {}
+
+    public enum Status {
+        ACCEPTED,
+        CONFLICT,
+        REJECTED,
+        UNKNOWN
+    }
+
+    public record Result(Status status, Item item) {
+        public boolean isAccepted() {
+            return status == Status.ACCEPTED;
+        }
+    }
+
+    /** Empty means: the register does not stand where the writer thought. */
+    @FunctionalInterface
+    public interface Update {
+        Optional<Item> apply(Item now);
+    }
+
+    public Proposer(
+            final NodeId self,
+            final String boot,
+            final VotingConfiguration votingConfiguration,
+            final EventLoop loop,
+            final Transport transport,
+            final Random random,
+            final EventJournal journal,
+            final ItemStore items,
+            final Supplier<List<NodeId>> learners,
+            final StoreHealth storeHealth) {
+        this.storeHealth = storeHealth;
+        this.votingConfiguration = votingConfiguration;
+        this.loop = loop;
+        this.transport = transport;
+        this.random = random;
+        this.journal = journal;
+        this.proposerId = self.text() + "#" + boot;
+        this.items = items;
+        this.learners = learners;
+        votingConfiguration.addListener(preparedBallots::clear);
+    }
+
+    public void propose(
+            final ItemId id,
+            final String writeId,
+            final long timeoutMs,
+            final Update change,
+            final Consumer<Result> callback) {
+        new Proposal(id, writeId, loop.now() + timeoutMs, change, callback).prepare();
+    }
+
+    public void read(final ItemId id, final long timeoutMs, final Consumer<Result> callback) {
+        propose(id, "", timeoutMs, Optional::of, callback);
+    }
+
+    private final class Proposal {
+        private final ItemId id;
+        private final String writeId;
+        private final long deadline;
+        private final Update update;
+        private final Consumer<Result> callback;
+        private Ballot ballot;
+        private boolean sent;
+        private boolean done;
+        private int attempts;
+        private long startedAt = loop.now();
+        private boolean preempted;
+        private Ballot highestAccepted = Ballot.ZERO;
+        private Item current;
+        private final Set<NodeId> acknowledged = new HashSet<>();
+        private int rejections;
+        private final Set<NodeId> preparedNext = new HashSet<>();
+        private Ballot nextBallot;
+        private int phase;
+        /** The voters whose answers count in this stage. */
+        private Quorum quorum = votingConfiguration.quorum();
+
+        Proposal(
+                final ItemId id,
+                final String writeId,
+                final long deadline,
+                final Update update,
+                final Consumer<Result> callback) {
+            this.id = id;
+            this.writeId = writeId;
+            this.deadline = deadline;
+            this.update = update;
+            this.callback = callback;
+        }
+
+        private void complete(final Status status, final Item item) {
+            if (!done) {
+                done = true;
+                callback.accept(new Result(status, item));
+            }
+        }
+
+        private void retry() {
+            phase++;
+            if (done) {
+                return;
+            }
+            final long roundMs = preempted ? Math.min(MAX_CONTENTION_DELAY_MS, loop.now() - startedAt) : 0;
+            preempted = false;
+            final long delayMs =
+                    5 + random.nextInt(15 + 20 * Math.min(8, ++attempts) + (int) (Math.min(3, attempts) * roundMs));
+            if (loop.now() + delayMs >= deadline) {
+                complete(sent ? Status.UNKNOWN : Status.REJECTED, items.get(id));
+            } else {
+                loop.schedule(delayMs, this::prepare);
+            }
+        }
+
+        private void prepare() {
+            if (done) {
+                return;
+            }
+            quorum = votingConfiguration.quorum();
+            final PreparedBallot prepared = preparedBallots.remove(id);
+            if (prepared != null && attempts == 0) {
+                ballot = prepared.ballot();
+                current = prepared.item();
+                phase++;
+                decide();
+                return;
+            }
+            highestRound++;
+            startedAt = loop.now();
+            ballot = new Ballot(highestRound, proposerId);
+            highestAccepted = Ballot.ZERO;
+            current = Item.none(id);
+            acknowledged.clear();
+            rejections = 0;
+            final int requestPhase = ++phase;
+            for (final NodeId voter : quorum.voters()) {
+                transport.request(
+                        voter,
+                        new PrepareRequest(quorum.epoch(), id, ballot),
+                        Math.max(20, Math.min(600, deadline - loop.now() - 20)),
+                        reply -> onPrepareResponse(voter, requestPhase, reply));
+            }
+        }
+
+        private void onPrepareResponse(final NodeId voter, final int requestPhase, final Reply reply) {
+            if (onVotingSetChange(voter, requestPhase, reply)) {
+                return;
+            }
+            final Optional<PrepareResponse> response = reply.as(PrepareResponse.class);
+            response.ifPresent(
+                    p -> highestRound = Math.max(highestRound, p.highestBallot().round()));
+            if (phase != requestPhase || done) {
+                return;
+            }
+            if (response.isEmpty() || !response.get().promised()) {
+                preempted |= response.isPresent();
+                if (++rejections > quorum.voters().size() - quorum.majority()) {
+                    retry();
+                }
+                return;
+            }
+            acknowledged.add(voter);
+            if (response.get().acceptedBallot().isAbove(highestAccepted)) {
+                highestAccepted = response.get().acceptedBallot();
+                current = response.get().item();
+            }
+            if (quorum.isReadQuorum(acknowledged)) {
+                decide();
+            }
+        }
+
+        /** A voter that goes by a later set ends the stage: it begins anew among the present voters. */
+        private boolean onVotingSetChange(final NodeId voter, final int requestPhase, final Reply reply) {
+            if (!votingConfiguration.isEpochMismatch(voter, reply) || quorum.epoch() == votingConfiguration.epoch()) {
+                return false;
+            }
+            if (phase == requestPhase && !done) {
+                retry();
+            }
+            return true;
+        }
+
+        private void decide() {
+            if (!writeId.isEmpty()
+                    && writeId.equals(current.writeId())
+                    && current.version().number() > 0) {
+                sendAccept(current);
+                return;
+            }
+            final Optional<Item> next = update.apply(current);
+            if (next.isEmpty()) {
+                phase++;
+                journal.add(Event.of(
+                        EventCode.CLASHED,
+                        "item",
+                        id.text(),
+                        "ver",
+                        current.version().number()));
+                confirmStanding(current);
+            } else {
+                sendAccept(next.get());
+            }
+        }
+
+        /** The standing value may be held by a minority only: it is made sure before the loser hears of it. */
+        private void confirmStanding(final Item standing) {
+            if (standing.version().number() == 0) {
+                complete(sent ? Status.UNKNOWN : Status.CONFLICT, standing);
+                return;
+            }
+            read(
+                    id,
+                    Math.max(200, deadline - loop.now()),
+                    reply -> complete(
+                            reply.isAccepted()
+                                    ? sent
+                                                    && reply.item().version().number()
+                                                            > standing.version().number()
+                                            ? Status.UNKNOWN
+                                            : Status.CONFLICT
+                                    : sent ? Status.UNKNOWN : Status.REJECTED,
+                            reply.isAccepted() ? reply.item() : standing));
+        }
+
+        private void sendAccept(final Item item) {
+            acknowledged.clear();
+            rejections = 0;
+            final int requestPhase = ++phase;
+            if (item != current) {
+                sent = true;
+            }
+            final long sentAt = loop.now();
+            preparedNext.clear();
+            nextBallot = PRE_PROMISED.contains(id) ? new Ballot(++highestRound, proposerId) : null;
+            for (final NodeId voter : quorum.voters()) {
+                transport.request(
+                        voter,
+                        new AcceptRequest(quorum.epoch(), ballot, item, nextBallot),
+                        600,
+                        reply -> onAcceptResponse(voter, requestPhase, sentAt, item, reply));
+            }
+            loop.schedule(StoreHealth.SILENCE_TIMEOUT_MS, () -> checkAccepted(requestPhase, sentAt, item));
+        }
+
+        private void onAcceptResponse(
+                final NodeId voter, final int requestPhase, final long sentAt, final Item item, final Reply reply) {
+            if (onVotingSetChange(voter, requestPhase, reply)) {
+                return;
+            }
+            final Optional<AcceptResponse> response = reply.as(AcceptResponse.class);
+            response.ifPresent(
+                    a -> highestRound = Math.max(highestRound, a.highestBallot().round()));
+            final boolean accepted = response.isPresent() && response.get().accepted();
+            if (accepted) {
+                storeHealth.recordSync(voter);
+            } else if (RejectedResponse.isStorageUnavailable(reply)) {
+                storeHealth.markSilent(voter);
+            }
+            if (phase != requestPhase || done) {
+                return;
+            }
+            if (!accepted) {
+                preempted |= response.isPresent();
+                if (response.isPresent() && storeHealth.isStore(voter)
+                        || ++rejections > quorum.voters().size() - quorum.majority()) {
+                    retry();
+                } else {
+                    checkAccepted(requestPhase, sentAt, item);
+                }
+                return;
+            }
+            acknowledged.add(voter);
+            if (response.get().highestBallot().equals(nextBallot)) {
+                preparedNext.add(voter);
+            }
+            checkAccepted(requestPhase, sentAt, item);
+        }
+
+        private void checkAccepted(final int requestPhase, final long sentAt, final Item item) {
+            if (phase == requestPhase
+                    && !done
+                    && quorum.isWriteQuorum(acknowledged)
+                    && storeHealth.allReachableSynced(acknowledged, loop.now() - sentAt)) {
+                phase++;
+                if (quorum.isReadQuorum(preparedNext) && quorum.epoch() == votingConfiguration.epoch()) {
+                    preparedBallots.put(id, new PreparedBallot(nextBallot, item));
+                }
+                final ChosenItem chosen = new ChosenItem(ballot, item);
+                if (item.version().number() > 0) {
+                    if (sent) {
+                        journal.add(Event.of(
+                                EventCode.ACCEPTED,
+                                "item",
+                                id.text(),
+                                "ver",
+                                item.version().number(),
+                                "tag",
+                                item.writeId()));
+                    }
+                    items.merge(chosen);
+                    announce(chosen);
+                }
+                complete(Status.ACCEPTED, item);
+            }
+        }
+    }
+
+    private void announce(final ChosenItem chosen) {
+        final List<NodeId> recipients = new ArrayList<>(learners.get());
+        votingConfiguration.voters().stream()
+                .filter(e -> !recipients.contains(e))
+                .forEach(recipients::add);
+        transport.send(recipients, new LearnNotification(List.of(chosen)));
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/RecordHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/RecordHandover.java
@@ -1,65 +1,66 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.consensus;
 
 import java.util.List;
 import java.util.Map;
-import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.message.RecordHandoverResponse;
+import org.rowanvalve.common.message.RecordPageResponse;
 
 /** What a voter's records of keyed requests do when its memory is rebuilt, and at a change of the voting set. */
 public interface RecordHandover {
     /** Whether records that were once kept here may be missing: such a memory is no source for others. */
-    boolean lapse();
+    boolean isIncomplete();
 
     /** The voter's memory was lost and is rebuilt: rows to be saved in one transaction with it. */
-    Map<String, byte[]> forgotten();
+    Map<String, byte[]> markIncomplete();
 
     /** Sums over the records of each cell. */
-    List<Long> sums();
+    List<Long> checksums();
 
     /** A page of the records in whose cells the sums differ, with all bars. {@code after}: the last key before it, or null. */
-    Msg.HandedRecords give(List<Long> theirs, String after);
+    RecordHandoverResponse page(List<Long> theirs, String after);
 
     /** Takes a page of another voter; false where its sum is wrong and nothing was taken. */
-    boolean merge(Msg.HandedRecords page);
+    boolean mergePage(RecordHandoverResponse page);
 
     /** What has to be saved in one transaction with the voter's own rows; all that was merged is on its way to the disk. */
-    Map<String, byte[]> rows();
+    Map<String, byte[]> handoverRows();
 
     /** The rows are synced: nothing is missing any more, and nobody has read here in the new epoch. */
-    void joined();
+    void onJoined();
 
     /** For voters that keep no records. */
     RecordHandover NONE = new RecordHandover() {
         @Override
-        public boolean lapse() {
+        public boolean isIncomplete() {
             return false;
         }
 
         @Override
-        public Map<String, byte[]> forgotten() {
+        public Map<String, byte[]> markIncomplete() {
             return Map.of();
         }
 
         @Override
-        public List<Long> sums() {
+        public List<Long> checksums() {
             return List.of();
         }
 
         @Override
-        public Msg.HandedRecords give(final List<Long> theirs, final String after) {
-            return new Msg.HandedRecords(Map.of(), new Msg.KeptCells(true, List.of(), 0, null));
+        public RecordHandoverResponse page(final List<Long> theirs, final String after) {
+            return new RecordHandoverResponse(Map.of(), new RecordPageResponse(true, List.of(), 0, null));
         }
 
         @Override
-        public boolean merge(final Msg.HandedRecords page) {
+        public boolean mergePage(final RecordHandoverResponse page) {
             return true;
         }
 
         @Override
-        public Map<String, byte[]> rows() {
+        public Map<String, byte[]> handoverRows() {
             return Map.of();
         }
 
         @Override
-        public void joined() {}
+        public void onJoined() {}
     };
 }
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -0,0 +1,137 @@
+package org.rowanvalve.control.consensus;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import java.util.function.IntSupplier;
+import java.util.function.Supplier;
+import org.rowanvalve.common.message.Register;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.store.ItemStore;
+
+/**
+ * Finishes what a vanished writer began: values accepted here that nobody has called chosen. What a start finds on its
+ * disk is finished at once, by the first of the voters that is there, since after a loss of all power nobody else can.
+ * A bounded number of items is read at a time, each once, so that recovery leaves room for the authority's own writes.
+ */
+public final class UnfinishedWriteRecovery {
+    /** So many items are read at the same time. */
+    static final int MAX_CONCURRENT_READS = 64;
+
+    private static final long INTERVAL_MS = 50;
+    private static final long READ_TIMEOUT_MS = 700;
+    /** For so long after the start, items found on the disk are finished sooner than others. */
+    private static final long STARTUP_MS = 4000;
+
+    private static final long RANK_DELAY_MS = 250;
+    /** Without these the control plane stands still, so they are finished first. */
+    private static final Set<ItemKind> URGENT = Set.of(ItemKind.LEADERSHIP, ItemKind.PLAN, ItemKind.VOTERS);
+
+    private final BooleanSupplier isVoting;
+    private final Supplier<Map<ItemId, Register>> registers;
+    private final ItemStore items;
+    private final Reader reader;
+    private final EventLoop loop;
+    private final Random random;
+    private final IntSupplier rank;
+    private final Map<ItemId, Long> dueAt = new HashMap<>();
+    private final Set<ItemId> foundOnDisk = new HashSet<>();
+    private final Set<ItemId> reading = new HashSet<>();
+    private long startedAt;
+
+    /** Reads a register, which has its value chosen. */
+    @FunctionalInterface
+    interface Reader {
+        void read(ItemId id, Runnable done);
+    }
+
+    /** {@code rank}: this voter's place among all. */
+    public UnfinishedWriteRecovery(
+            final Acceptor acceptor,
+            final ItemStore items,
+            final Proposer proposer,
+            final EventLoop loop,
+            final Random random,
+            final IntSupplier rank) {
+        this(
+                acceptor::isVoting,
+                acceptor::registers,
+                items,
+                (id, done) -> proposer.read(id, READ_TIMEOUT_MS, r -> done.run()),
+                loop,
+                random,
+                rank);
+    }
+
+    UnfinishedWriteRecovery(
+            final BooleanSupplier isVoting,
+            final Supplier<Map<ItemId, Register>> registers,
+            final ItemStore items,
+            final Reader reader,
+            final EventLoop loop,
+            final Random random,
+            final IntSupplier rank) {
+        this.isVoting = isVoting;
+        this.registers = registers;
+        this.items = items;
+        this.reader = reader;
+        this.loop = loop;
+        this.random = random;
+        this.rank = rank;
+    }
+
+    public void start() {
+        startedAt = loop.now();
+        foundOnDisk.addAll(registers.get().keySet());
+        loop.execute(this::recover);
+        loop.scheduleRepeatedly(INTERVAL_MS, this::recover);
+    }
+
+    private void recover() {
+        if (isVoting.getAsBoolean()) {
+            dueItems().stream().limit(MAX_CONCURRENT_READS - reading.size()).forEach(this::read);
+        }
+    }
+
+    /** The items whose time has come; two voters begin at different ends, so that they do not overtake each other. */
+    private List<ItemId> dueItems() {
+        final List<ItemId> list = new ArrayList<>();
+        registers.get().forEach((id, register) -> {
+            if (!register.item().version().isAbove(items.get(id).version())) {
+                dueAt.remove(id);
+            } else if (loop.now() >= dueAt.computeIfAbsent(id, this::firstDueAt) && !reading.contains(id)) {
+                list.add(id);
+            }
+        });
+        if (rank.getAsInt() % 2 == 1) {
+            Collections.reverse(list);
+        }
+        list.sort(Comparator.comparing(id -> !URGENT.contains(id.kind())));
+        return list;
+    }
+
+    private boolean isStartupRecovery(final ItemId id) {
+        return loop.now() - startedAt < STARTUP_MS && foundOnDisk.contains(id);
+    }
+
+    private long firstDueAt(final ItemId id) {
+        return loop.now() + (isStartupRecovery(id) ? rank.getAsInt() * RANK_DELAY_MS : 150 + random.nextInt(300));
+    }
+
+    private void read(final ItemId id) {
+        reading.add(id);
+        reader.read(id, () -> {
+            reading.remove(id);
+            dueAt.put(id, loop.now() + (isStartupRecovery(id) ? RANK_DELAY_MS + random.nextInt(100) : 800));
+        });
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/Json.java
+++ b/control/src/main/java/org/rowanvalve/control/json/Json.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.json;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -7,16 +7,16 @@
 
 /** Reads and writes the JSON bodies of items. */
 public final class Json {
-    private static final JsonMapper MAP = JsonMapper.builder()
+    private static final JsonMapper MAPPER = JsonMapper.builder()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
             .build();
 
     private Json() {}
 
-    public static String text(final Object o) {
+    public static String write(final Object o) {
         try {
-            return MAP.writeValueAsString(o);
+            return MAPPER.writeValueAsString(o);
         } catch (final JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
@@ -25,7 +25,7 @@
     /** For bodies that this project wrote and checked itself. */
     public static <T> T read(final String text, final Class<T> type) {
         try {
-            return MAP.readValue(text, type);
+            return MAPPER.readValue(text, type);
         } catch (final JsonProcessingException e) {
             throw new IllegalStateException("own JSON cannot be read", e);
         }
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
@@ -0,0 +1,137 @@
+package org.rowanvalve.control.json;
+
+import java.math.BigDecimal;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.rowanvalve.common.model.ValidationError;
+
+/** Reads one object's members, noting what is missing, of the wrong type, out of range or unknown. */
+public final class JsonObjectReader {
+    private final Map<?, ?> members;
+    private final String path;
+    private final List<ValidationError> errors;
+    private final Set<String> knownMembers = new HashSet<>();
+
+    public JsonObjectReader(final Object o, final String path, final List<ValidationError> errors) {
+        this.path = path;
+        this.errors = errors;
+        if (o instanceof Map<?, ?> m) {
+            members = m;
+        } else {
+            members = Map.of();
+            addError("", "an object is wanted here");
+        }
+    }
+
+    public void addError(final String name, final String text) {
+        errors.add(new ValidationError(name.isEmpty() ? path.isEmpty() ? "/" : path : path + "/" + name, text));
+    }
+
+    private Object member(final String name, final boolean must) {
+        knownMembers.add(name);
+        final Object o = members.get(name);
+        if (o == null && (must || members.containsKey(name))) {
+            addError(name, members.containsKey(name) ? "must not be null" : "missing");
+        }
+        return o;
+    }
+
+    public String text(final String name, final boolean must, final String fallback) {
+        final Object o = member(name, must);
+        if (o == null) {
+            return fallback;
+        }
+        if (o instanceof String s) {
+            return s;
+        }
+        addError(name, "a text is wanted here");
+        return fallback;
+    }
+
+    public String oneOf(final String name, final Set<String> words) {
+        final String s = text(name, true, "");
+        if (!s.isEmpty() && !words.contains(s)) {
+            addError(name, "must be one of " + words.stream().sorted().toList());
+        }
+        return s;
+    }
+
+    public boolean booleanValue(final String name, final boolean fallback) {
+        final Object o = member(name, false);
+        if (o == null || o instanceof Boolean) {
+            return o == null ? fallback : (Boolean) o;
+        }
+        addError(name, "true or false is wanted here");
+        return fallback;
+    }
+
+    public BigDecimal number(
+            final String name, final boolean must, final long fallback, final long least, final long most) {
+        final Object o = member(name, must);
+        final BigDecimal base = BigDecimal.valueOf(fallback);
+        if (o == null) {
+            return base;
+        }
+        if (!(o instanceof BigDecimal n)) {
+            addError(name, "a number is wanted here");
+            return base;
+        }
+        if (n.compareTo(BigDecimal.valueOf(least)) < 0 || n.compareTo(BigDecimal.valueOf(most)) > 0) {
+            addError(name, "must be from " + least + " to " + most);
+            return base;
+        }
+        return n;
+    }
+
+    public long wholeNumber(
+            final String name, final boolean must, final long fallback, final long least, final long most) {
+        final BigDecimal n = number(name, must, fallback, least, most);
+        if (n.stripTrailingZeros().scale() > 0) {
+            addError(name, "a whole number is wanted here");
+            return fallback;
+        }
+        return n.longValue();
+    }
+
+    public Map<?, ?> object(final String name) {
+        final Object o = member(name, false);
+        if (o == null) {
+            return Map.of();
+        }
+        if (o instanceof Map<?, ?> m) {
+            return m;
+        }
+        addError(name, "an object is wanted here");
+        return Map.of();
+    }
+
+    public List<?> list(final String name) {
+        final Object o = member(name, false);
+        if (o == null || o instanceof List<?>) {
+            return o == null ? List.of() : (List<?>) o;
+        }
+        addError(name, "a list is wanted here");
+        return List.of();
+    }
+
+    public String pathOf(final String name) {
+        return path + "/" + name;
+    }
+
+    public List<ValidationError> errors() {
+        return errors;
+    }
+
+    public void knownMembers(final String name) {
+        knownMembers.add(name);
+    }
+
+    public void rejectUnknownMembers() {
+        members.keySet().stream()
+                .map(String::valueOf)
+                .filter(k -> !knownMembers.contains(k))
+                .forEach(k -> addError(k, "unknown member"));
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/JsonReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.json;
 
 import com.jsoniter.JsonIterator;
 import com.jsoniter.ValueType;
@@ -10,21 +10,21 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.model.ValidationError;
 
 /** Reads operators' JSON whole, so that every fault is found with its path in one pass. */
 public final class JsonReader {
-    private static final int DEPTH = 16;
-    private final List<Finding> faults;
+    private static final int MAX_DEPTH = 16;
+    private final List<ValidationError> errors;
 
-    private JsonReader(final List<Finding> faults) {
-        this.faults = faults;
+    private JsonReader(final List<ValidationError> errors) {
+        this.errors = errors;
     }
 
-    public static Object read(final byte[] data, final List<Finding> faults) {
+    public static Object read(final byte[] data, final List<ValidationError> faults) {
         final JsonIterator it = JsonIterator.parse(data.length == 0 ? " ".getBytes(StandardCharsets.UTF_8) : data);
         try {
-            final Object o = new JsonReader(faults).value(it, "", 0);
+            final Object o = new JsonReader(faults).readValue(it, "", 0);
             boolean rest = false;
             try {
                 rest = it.whatIsNext() != ValueType.INVALID;
@@ -32,22 +32,22 @@
                 rest = false;
             }
             if (rest) {
-                faults.add(new Finding("/", "text after the value"));
+                faults.add(new ValidationError("/", "text after the value"));
             }
             return o;
         } catch (final JsonException | IOException | ArrayIndexOutOfBoundsException e) {
-            faults.add(new Finding("/", "not readable as JSON"));
+            faults.add(new ValidationError("/", "not readable as JSON"));
             return null;
         }
     }
 
-    private Object value(final JsonIterator it, final String path, final int depth) throws IOException {
-        if (depth > DEPTH) {
+    private Object readValue(final JsonIterator it, final String path, final int depth) throws IOException {
+        if (depth > MAX_DEPTH) {
             throw new JsonException("too deep");
         }
         return switch (it.whatIsNext()) {
             case STRING -> it.readString();
-            case NUMBER -> number(it, path);
+            case NUMBER -> readNumber(it, path);
             case BOOLEAN -> it.readBoolean();
             case NULL -> {
                 it.readNull();
@@ -56,7 +56,7 @@
             case ARRAY -> {
                 final List<Object> list = new ArrayList<>();
                 while (it.readArray()) {
-                    list.add(value(it, path + "/" + list.size(), depth + 1));
+                    list.add(readValue(it, path + "/" + list.size(), depth + 1));
                 }
                 yield list;
             }
@@ -65,9 +65,9 @@
                 for (String f = it.readObject(); f != null; f = it.readObject()) {
                     final String at = path + "/" + f;
                     final boolean twice = map.containsKey(f);
-                    final Object v = value(it, at, depth + 1);
+                    final Object v = readValue(it, at, depth + 1);
                     if (twice) {
-                        faults.add(new Finding(at, "member stated twice"));
+                        errors.add(new ValidationError(at, "member stated twice"));
                     }
                     map.put(f, v);
                 }
@@ -77,12 +77,12 @@
         };
     }
 
-    private BigDecimal number(final JsonIterator it, final String path) throws IOException {
+    private BigDecimal readNumber(final JsonIterator it, final String path) throws IOException {
         final String text = it.readNumberAsString();
         try {
             final BigDecimal n = new BigDecimal(text);
             if (Math.abs((long) n.scale()) + n.precision() > 40) {
-                faults.add(new Finding(path, "number out of range"));
+                errors.add(new ValidationError(path, "number out of range"));
                 return BigDecimal.ZERO;
             }
             return n;
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/membership/ClockSkewMonitor.java
@@ -0,0 +1,66 @@
+package org.rowanvalve.control.membership;
+
+import java.util.ArrayDeque;
+import java.util.HashMap;
+import java.util.Map;
+import org.rowanvalve.common.model.LeaseTimings;
+import org.rowanvalve.common.model.NodeId;
+
+/** Compares this clock's pace with its peers' over a window of beats; the bound is over D+2M. */
+public final class ClockSkewMonitor {
+    private static final long WINDOW_MS = 20_000;
+    private static final long MIN_SPAN_MS = 8_000;
+    private final LeaseTimings timings;
+    private final Map<NodeId, ArrayDeque<Sample>> samples = new HashMap<>();
+
+    private record Sample(long ownClock, long peerClock, long uncertainty) {}
+
+    public ClockSkewMonitor(final LeaseTimings timings) {
+        this.timings = timings;
+    }
+
+    public void addSample(final NodeId peer, final long sentAt, final long receivedAt, final long peerClock) {
+        final ArrayDeque<Sample> window = samples.computeIfAbsent(peer, k -> new ArrayDeque<>());
+        final Sample last = window.peekLast();
+        if (last != null && peerClock < last.peerClock()) {
+            window.clear();
+        }
+        window.addLast(new Sample((sentAt + receivedAt) / 2, peerClock, (receivedAt - sentAt) / 2 + 1));
+        while (window.peekLast().ownClock() - window.peekFirst().ownClock() > WINDOW_MS) {
+            window.removeFirst();
+        }
+    }
+
+    /** The drift from one peer that the samples prove, in ms over D+2M; zero while too little is known. */
+    public long provenSkewMs(final NodeId peer) {
+        final ArrayDeque<Sample> window = samples.get(peer);
+        if (window == null || window.isEmpty()) {
+            return 0;
+        }
+        final Sample oldest = window.peekFirst();
+        final Sample newest = window.peekLast();
+        final long span = newest.ownClock() - oldest.ownClock();
+        if (span < MIN_SPAN_MS) {
+            return 0;
+        }
+        final long skew = Math.abs((newest.peerClock() - oldest.peerClock()) - span)
+                - oldest.uncertainty()
+                - newest.uncertainty();
+        return Math.max(0, skew) * (timings.leaseMs() + 2 * timings.marginMs()) / span;
+    }
+
+    /** Against most peers: one peer with a bad clock does not condemn this one. */
+    public long medianSkewMs() {
+        final long[] all =
+                samples.keySet().stream().mapToLong(this::provenSkewMs).sorted().toArray();
+        return all.length == 0 ? 0 : all[(all.length - 1) / 2];
+    }
+
+    public boolean exceedsBound() {
+        return medianSkewMs() >= timings.marginMs() / 2;
+    }
+
+    public void clear() {
+        samples.clear();
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/ApiResult.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ApiResponse.java
@@ -1,34 +1,34 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.common.ItemId;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ValidationError;
 
 /** A status and the members of the JSON body that goes with it. */
-public record ApiResult(int status, Map<String, Object> body) {
+public record ApiResponse(int status, Map<String, Object> body) {
     /** {@code pairs}: further members of the body, name and value in turn. */
-    public static ApiResult done(final Object... pairs) {
+    public static ApiResponse done(final Object... pairs) {
         final Map<String, Object> body = members("fate", "done");
         body.putAll(members(pairs));
-        return new ApiResult(200, body);
+        return new ApiResponse(200, body);
     }
 
     /** Nothing can be said for certain; the same again is welcome after {@code retryMs}. */
-    public static ApiResult unavailable(final String reason, final long retryMs) {
-        return new ApiResult(503, members("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
+    public static ApiResponse unavailable(final String reason, final long retryMs) {
+        return new ApiResponse(503, members("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
     }
 
     /** The number was taken with another body; {@code version} is the one that stands. */
-    public static ApiResult conflict(final ItemId item, final long version) {
-        return new ApiResult(
+    public static ApiResponse conflict(final ItemId item, final long version) {
+        return new ApiResponse(
                 409,
                 members(
                         "fate",
                         "refused",
                         "item",
-                        item.kind().word() + "/" + item.name(),
+                        item.kind().label() + "/" + item.name(),
                         "reason",
                         "this version was taken with another body",
                         "version",
@@ -45,8 +45,8 @@
     }
 
     /** The statement has faults; nothing of it was taken. */
-    public static ApiResult invalid(final List<Finding> list) {
-        return new ApiResult(
+    public static ApiResponse invalid(final List<ValidationError> list) {
+        return new ApiResponse(
                 422,
                 members(
                         "fate",
@@ -55,7 +55,7 @@
                         "the statement has faults",
                         "findings",
                         list.stream()
-                                .map(f -> members("path", f.place(), "text", f.text()))
+                                .map(error -> members("path", error.path(), "text", error.message()))
                                 .toList()));
     }
 }
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
@@ -0,0 +1,162 @@
+package org.rowanvalve.control.operator;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.view.ViewSynchronizer;
+
+/** Origins that beat: an item is written only when something about one changes, the beats themselves stay here. */
+public final class OriginRegistry {
+    private static final long WRITE_TIMEOUT_MS = 900;
+    private static final long CONTACT_TIMEOUT_MS = 700;
+    private static final long RETRY_AFTER_MS = 300;
+    private final EventLoop loop;
+    private final ItemStore items;
+    private final ViewSynchronizer view;
+    private final Proposer proposer;
+    private final EventJournal journal;
+    private final Supplier<String> writeIds;
+    private final Map<ItemId, Long> lastHeardAt = new HashMap<>();
+
+    public OriginRegistry(
+            final EventLoop loop,
+            final ItemStore items,
+            final ViewSynchronizer view,
+            final Proposer proposer,
+            final EventJournal journal,
+            final Supplier<String> writeIds) {
+        this.loop = loop;
+        this.items = items;
+        this.view = view;
+        this.proposer = proposer;
+        this.journal = journal;
+        this.writeIds = writeIds;
+    }
+
+    private static boolean isUnchanged(final Origin standing, final Origin announced) {
+        return standing.isSameProcess(announced)
+                && standing.draining() == announced.draining()
+                && standing.slots() == announced.slots()
+                && standing.location().equals(announced.location());
+    }
+
+    private static ApiResponse done(final String name) {
+        return ApiResponse.done("origin", name);
+    }
+
+    private static ApiResponse unavailable(final String reason) {
+        return ApiResponse.unavailable(reason, RETRY_AFTER_MS);
+    }
+
+    private Optional<Origin> standing(final ItemId id) {
+        return Optional.of(items.get(id)).filter(Item::exists).map(item -> Json.read(item.body(), Origin.class));
+    }
+
+    /**
+     * A beat; one that comes late, by its count, changes nothing, and one that has left does not come back. What tells
+     * news is written; a leave that tells none is acknowledged in contact with a majority.
+     */
+    public void onHeartbeat(final String name, final Origin announced, final Consumer<ApiResponse> callback) {
+        if (!view.isFresh()) {
+            callback.accept(unavailable("this node's frame is not confirmed"));
+            return;
+        }
+        final ItemId id = new ItemId(ItemKind.ORIGIN, name);
+        final Origin standing = standing(id).orElse(null);
+        lastHeardAt.put(id, items.now());
+        if (standing == null
+                || announced.sequence() > standing.sequence()
+                        && !standing.draining()
+                        && !isUnchanged(standing, announced)) {
+            writeOrigin(id, announced, callback);
+        } else if (announced.draining()) {
+            whenConfirmed(() -> callback.accept(done(name)), callback);
+        } else {
+            callback.accept(done(name));
+        }
+    }
+
+    /** It has ended, or says so: the same as leaving, for good. Said again, at any node, it is acknowledged again. */
+    public void onEnd(final String name, final Consumer<ApiResponse> callback) {
+        final ItemId id = new ItemId(ItemKind.ORIGIN, name);
+        lastHeardAt.remove(id);
+        if (standing(id).filter(origin -> !origin.draining()).isPresent() && view.isFresh()) {
+            drain(id, callback);
+        } else {
+            whenConfirmed(() -> drain(id, callback), callback);
+        }
+    }
+
+    /** Goes on once a majority has confirmed this node's frame for a moment after now. */
+    private void whenConfirmed(final Runnable action, final Consumer<ApiResponse> callback) {
+        if (!view.isFresh()) {
+            callback.accept(unavailable("this node's frame is not confirmed"));
+            return;
+        }
+        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MS, ok -> {
+            if (ok) {
+                action.run();
+            } else {
+                callback.accept(unavailable("no majority answered"));
+            }
+        });
+    }
+
+    private void drain(final ItemId id, final Consumer<ApiResponse> callback) {
+        standing(id)
+                .filter(origin -> !origin.draining())
+                .ifPresentOrElse(
+                        origin -> writeOrigin(id, origin.ended(), callback), () -> callback.accept(done(id.name())));
+    }
+
+    private void writeOrigin(final ItemId id, final Origin announced, final Consumer<ApiResponse> callback) {
+        final Consumer<ApiResponse> once =
+                ResponseDeadline.inContact(loop, view, () -> unavailable("no majority confirmed it in time"), callback);
+        final String writeId = writeIds.get();
+        proposer.propose(
+                id,
+                writeId,
+                WRITE_TIMEOUT_MS,
+                current -> {
+                    final Origin standing = current.exists() ? Json.read(current.body(), Origin.class) : null;
+                    if (standing != null && (standing.sequence() >= announced.sequence() || standing.draining())) {
+                        return Optional.of(current);
+                    }
+                    final Item next = current.successor(Json.write(announced), writeId);
+                    return Optional.of(new Item(id, items.nextVersion(next), next.body(), false, writeId));
+                },
+                result -> {
+                    if (result.isAccepted()) {
+                        journal.add(Event.of(
+                                announced.draining() ? EventCode.ORIGIN_LEFT : EventCode.ORIGIN_SEEN,
+                                "origin",
+                                id.name(),
+                                "service",
+                                announced.service(),
+                                "ver",
+                                result.item().version().number()));
+                    }
+                    once.accept(result.isAccepted() ? done(id.name()) : unavailable("no majority confirmed it"));
+                });
+    }
+
+    /** How long ago each origin was last heard of here, in ms. */
+    public Map<ItemId, Long> agesMs() {
+        final Map<ItemId, Long> map = new HashMap<>();
+        lastHeardAt.forEach((id, current) -> map.put(id, items.now() - current));
+        return map;
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/AnswerDeadline.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
@@ -1,18 +1,19 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
  * Gives one answer, the first that comes. Callers go on to another node after a second of silence, so a node that has
  * heard from no majority since the question says so before that second is over.
  */
-final class AnswerDeadline {
+final class ResponseDeadline {
     /** Without contact there is an answer after so long. */
-    static final long CONTACT = 780;
+    static final long CONTACT_TIMEOUT_MS = 780;
 
-    private AnswerDeadline() {}
+    private ResponseDeadline() {}
 
     static <T> Consumer<T> once(final Consumer<T> back) {
         final boolean[] given = {false};
@@ -26,11 +27,11 @@
 
     /** {@code late} is given where no majority has confirmed this node's frame for a moment after now. */
     static <T> Consumer<T> inContact(
-            final Loop loop, final FrameSync sync, final Supplier<T> late, final Consumer<T> back) {
+            final EventLoop loop, final ViewSynchronizer view, final Supplier<T> late, final Consumer<T> back) {
         final long asked = loop.now();
         final Consumer<T> first = once(back);
-        loop.after(CONTACT, () -> {
-            if (sync.sure() < asked) {
+        loop.schedule(CONTACT_TIMEOUT_MS, () -> {
+            if (view.confirmedAt() < asked) {
                 first.accept(late.get());
             }
         });
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
@@ -0,0 +1,111 @@
+package org.rowanvalve.control.operator;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.BooleanSupplier;
+import java.util.function.Predicate;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.store.CollectionFloor;
+import org.rowanvalve.control.store.ItemStore;
+
+/** The acting store's duty: drops purges that no copy can be older than, and origins long gone. */
+public final class TombstoneCollector {
+    private static final long ROUND_MS = 10_000;
+    private static final long SAFETY_MS = 60_000;
+    private static final int MIN_COLLECTED = 20;
+    private final EventLoop loop;
+    private final ItemStore items;
+    private final Proposer proposer;
+    private final BooleanSupplier isLeader;
+
+    public TombstoneCollector(
+            final EventLoop loop, final ItemStore items, final Proposer proposer, final BooleanSupplier isLeader) {
+        this.loop = loop;
+        this.items = items;
+        this.proposer = proposer;
+        this.isLeader = isLeader;
+    }
+
+    public void start() {
+        loop.scheduleRepeatedly(ROUND_MS, this::collect);
+    }
+
+    private long ageMs(final Item item) {
+        return loop.now() - items.learnedAt(item.id());
+    }
+
+    private void collect() {
+        if (!isLeader.getAsBoolean()) {
+            return;
+        }
+        final List<Item> all = items.all().stream().map(ChosenItem::item).toList();
+        final long longestTtlMs = all.stream()
+                .filter(item -> item.id().kind() == ItemKind.ROUTE && item.exists())
+                .map(item -> Json.read(item.body(), Route.class))
+                .filter(Route::purgeable)
+                .mapToLong(Route::ttlMs)
+                .max()
+                .orElse(0);
+        final CollectionFloor standingFloor = items.collectionFloor();
+        final CollectionFloor nextFloor = new CollectionFloor(
+                floorOf(
+                        all,
+                        ItemKind.PURGE,
+                        standingFloor.purges(),
+                        item -> ageMs(item) > longestTtlMs + longestTtlMs / 4 + SAFETY_MS),
+                floorOf(all, ItemKind.ORIGIN, standingFloor.origins(), this::isExpired));
+        if (!nextFloor.equals(standingFloor)) {
+            final String writeId = "sweep-" + nextFloor.purges() + "-" + nextFloor.origins() + "-" + loop.now();
+            proposer.propose(
+                    CollectionFloor.ID,
+                    writeId,
+                    1000,
+                    current -> {
+                        final CollectionFloor floor = CollectionFloor.of(current);
+                        return Optional.of(current.successor(
+                                Json.write(Map.of(
+                                        "purges",
+                                        Math.max(floor.purges(), nextFloor.purges()),
+                                        "origins",
+                                        Math.max(floor.origins(), nextFloor.origins()))),
+                                writeId));
+                    },
+                    r -> {});
+        }
+    }
+
+    private boolean isExpired(final Item item) {
+        final Origin origin = item.exists() ? Json.read(item.body(), Origin.class) : null;
+        final long ttlMs = origin == null ? 0 : origin.ttlMs();
+        return (origin == null || ttlMs > 0 || origin.draining()) && ageMs(item) > ttlMs + ttlMs / 4 + SAFETY_MS;
+    }
+
+    /** The highest version under all that must stay; unchanged while too few would go. */
+    private static long floorOf(
+            final List<Item> all, final ItemKind kind, final long standingFloor, final Predicate<Item> expired) {
+        final List<Item> ofKind =
+                all.stream().filter(item -> item.id().kind() == kind).toList();
+        final long lowestKept = ofKind.stream()
+                .filter(expired.negate())
+                .mapToLong(item -> item.version().number())
+                .min()
+                .orElse(Long.MAX_VALUE);
+        final List<Item> collected = ofKind.stream()
+                .filter(item -> item.version().number() < lowestKept)
+                .toList();
+        return collected.size() < MIN_COLLECTED
+                ? standingFloor
+                : collected.stream()
+                        .mapToLong(item -> item.version().number())
+                        .max()
+                        .orElse(standingFloor);
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
@@ -0,0 +1,197 @@
+package org.rowanvalve.control.operator;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.operator.UpdateLedger.Judgement;
+import org.rowanvalve.control.operator.UpdateLedger.Verdict;
+import org.rowanvalve.control.store.ItemStore;
+
+/**
+ * Takes calls into the ledger, several in one write, and then writes their items. Any node may do so at any time: what
+ * is decided is decided by the ledger's ballots, and an item is only ever written as the ledger says.
+ */
+final class UpdateSequencer {
+    private static final long WRITE_TIMEOUT_MS = 2500;
+    /** A call that nobody has finished for so long is finished by another node. */
+    private static final long TAKEOVER_MS = 500;
+
+    private static final long RANK_DELAY_MS = 250;
+    private static final long ROUND_MS = 250;
+    /** Bodies that were written are taken out of the ledger by a write of its own where they are this large together. */
+    private static final int LARGE_BODY_CHARS = 8192;
+
+    private final EventLoop loop;
+    private final ItemStore items;
+    private final Proposer proposer;
+    private final Supplier<String> writeIds;
+    private final List<PendingUpdate> queue = new ArrayList<>();
+    private final Map<ItemId, ItemWrite> writesInFlight = new HashMap<>();
+    private boolean writing;
+    private boolean cleanUpDue;
+    private long ledgerVersion;
+    private long ledgerLearnedAt;
+    private UpdateLedger ledger = UpdateLedger.EMPTY;
+
+    private record PendingUpdate(ConfigurationUpdate update, Consumer<Judgement> callback) {}
+
+    /** The write of one item that is under way. */
+    private record ItemWrite(ConfigurationUpdate.ItemUpdate itemUpdate, List<Consumer<Boolean>> waiters) {}
+
+    UpdateSequencer(
+            final EventLoop loop, final ItemStore items, final Proposer proposer, final Supplier<String> writeIds) {
+        this.loop = loop;
+        this.items = items;
+        this.proposer = proposer;
+        this.writeIds = writeIds;
+    }
+
+    /** From now on this node finishes what others leave open; {@code rank} spreads several nodes in time. */
+    void start(final int rank) {
+        loop.scheduleRepeatedly(ROUND_MS, () -> finishOpenUpdates(TAKEOVER_MS + rank * RANK_DELAY_MS));
+    }
+
+    /** STANDS is said once every item of the call is chosen; never says NEW. */
+    void submit(final ConfigurationUpdate update, final Consumer<Judgement> callback) {
+        queue.add(new PendingUpdate(update, callback));
+        writeNextBatch();
+    }
+
+    /** Whether the ledger is known to hold all of a call. */
+    boolean isTaken(final ConfigurationUpdate update) {
+        return learnedLedger().judge(update, items::get).verdict() == Verdict.TAKEN;
+    }
+
+    private void writeNextBatch() {
+        if (writing || queue.isEmpty() && !cleanUpDue) {
+            return;
+        }
+        writing = true;
+        cleanUpDue = false;
+        final List<PendingUpdate> batch = List.copyOf(queue);
+        queue.clear();
+        final String writeId = writeIds.get();
+        proposer.propose(
+                ItemId.LEDGER,
+                writeId,
+                WRITE_TIMEOUT_MS,
+                now -> Optional.of(nextLedger(now, batch, writeId)),
+                result -> {
+                    writing = false;
+                    if (result.isAccepted()) {
+                        final UpdateLedger chosen = UpdateLedger.of(result.item());
+                        batch.forEach(pendingUpdate -> decide(chosen, pendingUpdate));
+                        scheduleCleanUp(result.item());
+                    } else {
+                        batch.forEach(
+                                pendingUpdate -> pendingUpdate.callback().accept(Judgement.of(Verdict.UNDECIDED)));
+                    }
+                    writeNextBatch();
+                });
+    }
+
+    /** The ledger with each call of the batch that can be taken; where there is none, the standing value itself. */
+    private Item nextLedger(final Item now, final List<PendingUpdate> batch, final String writeId) {
+        final UpdateLedger before = UpdateLedger.of(now);
+        UpdateLedger after = batch.isEmpty() ? before.withoutWritten(items::get) : before;
+        for (final PendingUpdate pendingUpdate : batch) {
+            if (after.judge(pendingUpdate.update(), items::get).verdict() == Verdict.NEW) {
+                after = after.withTaken(pendingUpdate.update(), items::get);
+            }
+        }
+        return after == before
+                ? now
+                : now.successor(after.withoutWritten(items::get).toJson(), writeId);
+    }
+
+    /** Judged by the value that a majority has accepted, so no verdict rests on one that may yet be replaced. */
+    private void decide(final UpdateLedger chosen, final PendingUpdate pendingUpdate) {
+        final Judgement judgement = chosen.judge(pendingUpdate.update(), items::get);
+        switch (judgement.verdict()) {
+            case TAKEN ->
+                writeItems(
+                        chosen,
+                        pendingUpdate.update().updates().keySet(),
+                        ok -> pendingUpdate.callback().accept(Judgement.of(ok ? Verdict.TAKEN : Verdict.UNDECIDED)));
+            case NEW -> pendingUpdate.callback().accept(Judgement.of(Verdict.UNDECIDED));
+            default -> pendingUpdate.callback().accept(judgement);
+        }
+    }
+
+    /** Hears true once each of these items is chosen as the ledger says. */
+    private void writeItems(final UpdateLedger chosen, final Collection<ItemId> ids, final Consumer<Boolean> callback) {
+        final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = chosen.unwritten(items::get);
+        unwritten.keySet().retainAll(ids);
+        if (unwritten.isEmpty()) {
+            callback.accept(true);
+            return;
+        }
+        final int[] remaining = {unwritten.size()};
+        final boolean[] allWritten = {true};
+        unwritten.forEach((id, itemUpdate) -> writeItems(id, itemUpdate, ok -> {
+            allWritten[0] &= ok;
+            if (--remaining[0] == 0) {
+                callback.accept(allWritten[0]);
+            }
+        }));
+    }
+
+    private void writeItems(
+            final ItemId id, final ConfigurationUpdate.ItemUpdate itemUpdate, final Consumer<Boolean> callback) {
+        final ItemWrite inFlight = writesInFlight.get(id);
+        if (inFlight != null
+                && !itemUpdate.version().isAbove(inFlight.itemUpdate().version())) {
+            inFlight.waiters().add(callback);
+            return;
+        }
+        final ItemWrite write = new ItemWrite(itemUpdate, new ArrayList<>(List.of(callback)));
+        writesInFlight.put(id, write);
+        final String writeId = writeIds.get();
+        proposer.propose(
+                id, writeId, WRITE_TIMEOUT_MS, now -> Optional.of(itemUpdate.appliedTo(now, writeId)), result -> {
+                    writesInFlight.remove(id, write);
+                    write.waiters().forEach(w -> w.accept(result.isAccepted()));
+                });
+    }
+
+    /** The ledger as this node has learned it. */
+    private UpdateLedger learnedLedger() {
+        final Item item = items.get(ItemId.LEDGER);
+        if (item.version().number() != ledgerVersion) {
+            ledgerVersion = item.version().number();
+            ledgerLearnedAt = loop.now();
+            ledger = UpdateLedger.of(item);
+        }
+        return ledger;
+    }
+
+    private void finishOpenUpdates(final long patience) {
+        final UpdateLedger now = learnedLedger();
+        if (now.openUpdates().isEmpty() || loop.now() - ledgerLearnedAt < patience) {
+            return;
+        }
+        final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = now.unwritten(items::get);
+        unwritten.keySet().removeAll(writesInFlight.keySet());
+        unwritten.forEach((id, itemUpdate) -> writeItems(id, itemUpdate, ok -> {}));
+    }
+
+    /** Large bodies that stand do not stay in the ledger until the next call. */
+    private void scheduleCleanUp(final Item chosen) {
+        if (chosen.body().length() > LARGE_BODY_CHARS) {
+            loop.schedule(TAKEOVER_MS, () -> {
+                final UpdateLedger now = learnedLedger();
+                cleanUpDue = now.withoutWritten(items::get) != now;
+                writeNextBatch();
+            });
+        }
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -0,0 +1,262 @@
+package org.rowanvalve.control.operator;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.UpdateForwardRequest;
+import org.rowanvalve.common.message.UpdateForwardResponse;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.UpdateLedger.Judgement;
+import org.rowanvalve.control.operator.UpdateLedger.Verdict;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.view.ViewSynchronizer;
+
+/**
+ * Operators' orders under versions of their own: items set and dropped, objects purged, the whole read back. Every
+ * answer rests on a majority that was asked after the order came in; without one it is 503, with when to come back.
+ */
+public final class UpdateService {
+    private static final long WRITE_TIMEOUT_MS = 2500;
+    private static final long CONTACT_TIMEOUT_MS = 700;
+    /** After so long without an answer from the preferred node a call is taken here, unless it is known as taken. */
+    private static final long FORWARD_TIMEOUT_MS = 500;
+
+    private static final long RETRY_AFTER_MS = 500;
+
+    private final EventLoop loop;
+    private final Transport transport;
+    private final ItemStore items;
+    private final ViewSynchronizer view;
+    private final Proposer proposer;
+    private final Supplier<String> writeIds;
+    private final Supplier<Optional<NodeId>> preferredSequencer;
+    private final UpdateSequencer sequencer;
+
+    /** {@code preferredSequencer}: the node that should put calls in order, where it is another one that is heard from. */
+    public UpdateService(
+            final EventLoop loop,
+            final Transport transport,
+            final ItemStore items,
+            final ViewSynchronizer view,
+            final Proposer proposer,
+            final Supplier<String> writeIds,
+            final Supplier<Optional<NodeId>> preferredSequencer) {
+        this.loop = loop;
+        this.transport = transport;
+        this.items = items;
+        this.view = view;
+        this.proposer = proposer;
+        this.writeIds = writeIds;
+        this.preferredSequencer = preferredSequencer;
+        this.sequencer = new UpdateSequencer(loop, items, proposer, writeIds);
+    }
+
+    /** From now on calls that were taken and left half written are finished here; {@code rank} spreads several nodes. */
+    public void start(final int rank) {
+        sequencer.start(rank);
+    }
+
+    private static ApiResponse unavailable(final String reason) {
+        return ApiResponse.unavailable(reason, RETRY_AFTER_MS);
+    }
+
+    /**
+     * 200 once every item of the call stands at a majority, synced; the same call again is 200 for as long as its numbers
+     * are known. 409 where a number was taken with another body: nothing of the call has taken force, or ever will.
+     */
+    public void apply(final byte[] data, final Consumer<ApiResponse> callback) {
+        if (!view.isFresh()) {
+            callback.accept(unavailable("this node's frame is not confirmed"));
+            return;
+        }
+        final List<ValidationError> errors = new ArrayList<>();
+        final ConfigurationUpdate patch = ConfigurationUpdate.read(data, errors);
+        if (errors.isEmpty()) {
+            submit(patch, data, inContact(callback));
+        } else {
+            refuseInvalid(errors, callback);
+        }
+    }
+
+    /** 422 after a majority has answered, so that a node that is cut off ends no order for good. */
+    public void refuseInvalid(final List<ValidationError> errors, final Consumer<ApiResponse> callback) {
+        refuse(ApiResponse.invalid(errors), callback);
+    }
+
+    public void refuse(final int status, final String reason, final Consumer<ApiResponse> callback) {
+        refuse(new ApiResponse(status, ApiResponse.members("fate", "refused", "reason", reason)), callback);
+    }
+
+    /** Says no for good, but only in contact with a majority. */
+    private void refuse(final ApiResponse refusal, final Consumer<ApiResponse> callback) {
+        if (view.isFresh()) {
+            view.awaitConfirmation(
+                    loop.now(),
+                    CONTACT_TIMEOUT_MS,
+                    ok -> callback.accept(ok ? refusal : unavailable("no majority answered")));
+        } else {
+            callback.accept(unavailable("this node's frame is not confirmed"));
+        }
+    }
+
+    private Consumer<ApiResponse> inContact(final Consumer<ApiResponse> callback) {
+        return ResponseDeadline.inContact(loop, view, () -> unavailable("no majority answered in time"), callback);
+    }
+
+    /** At the preferred node, so that several calls are one write; where that one does not answer in time, here too. */
+    private void submit(final ConfigurationUpdate patch, final byte[] data, final Consumer<ApiResponse> callback) {
+        final Consumer<Judgement> decision = ResponseDeadline.once(judgement -> respond(patch, judgement, callback));
+        final boolean[] submittedHere = {false};
+        final Runnable local = () -> {
+            if (!submittedHere[0]) {
+                submittedHere[0] = true;
+                sequencer.submit(patch, decision);
+            }
+        };
+        final Optional<NodeId> sequencerNode = preferredSequencer.get();
+        if (sequencerNode.isEmpty()) {
+            local.run();
+            return;
+        }
+        loop.schedule(FORWARD_TIMEOUT_MS, () -> {
+            if (!sequencer.isTaken(patch)) {
+                local.run();
+            }
+        });
+        loop.schedule(2 * FORWARD_TIMEOUT_MS, local);
+        transport.request(
+                sequencerNode.get(),
+                new UpdateForwardRequest(data),
+                WRITE_TIMEOUT_MS,
+                reply -> reply.as(UpdateForwardResponse.class)
+                        .map(UpdateService::toJudgement)
+                        .filter(judgement -> judgement.verdict() != Verdict.UNDECIDED)
+                        .ifPresentOrElse(decision, local));
+    }
+
+    /** A call that another node took in. */
+    public void onForwarded(final UpdateForwardRequest request, final Consumer<Message> callback) {
+        final List<ValidationError> errors = new ArrayList<>();
+        final ConfigurationUpdate patch = ConfigurationUpdate.read(request.update(), errors);
+        if (errors.isEmpty()) {
+            sequencer.submit(
+                    patch,
+                    judgement -> callback.accept(new UpdateForwardResponse(
+                            judgement.verdict().name(), judgement.item(), judgement.version(), judgement.errors())));
+        } else {
+            callback.accept(new RejectedResponse("the call has faults here"));
+        }
+    }
+
+    private static Judgement toJudgement(final UpdateForwardResponse response) {
+        return new Judgement(
+                Verdict.valueOf(response.verdict()), response.item(), response.version(), response.errors());
+    }
+
+    private void respond(
+            final ConfigurationUpdate patch, final Judgement judgement, final Consumer<ApiResponse> callback) {
+        switch (judgement.verdict()) {
+            case TAKEN -> callback.accept(ApiResponse.done("items", standingVersions(patch)));
+            case CONFLICT -> callback.accept(ApiResponse.conflict(judgement.item(), judgement.version()));
+            case INVALID_REFERENCE -> recheckReferences(patch, callback);
+            default -> callback.accept(unavailable("no majority confirmed every item"));
+        }
+    }
+
+    private Map<String, Object> standingVersions(final ConfigurationUpdate patch) {
+        final Map<String, Object> done = new TreeMap<>();
+        patch.updates()
+                .forEach((id, itemUpdate) -> done.put(
+                        id.kind().label() + "/" + id.name(),
+                        Math.max(
+                                itemUpdate.version().number(),
+                                items.get(id).version().number())));
+        return done;
+    }
+
+    /** What the call names may have been stated past the ledger, at another node: judged once more by a frame since. */
+    private void recheckReferences(final ConfigurationUpdate patch, final Consumer<ApiResponse> callback) {
+        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MS, ok -> {
+            if (!ok) {
+                callback.accept(unavailable("no majority answered"));
+                return;
+            }
+            sequencer.submit(patch, judgement -> {
+                if (judgement.verdict() == Verdict.INVALID_REFERENCE) {
+                    callback.accept(ApiResponse.invalid(judgement.errors()));
+                } else {
+                    respond(patch, judgement, callback);
+                }
+            });
+        });
+    }
+
+    /** Of a host's path or of a tag; each order is a version of its own, so that what was filled since the last one goes too. */
+    public void purge(final Purge purge, final Consumer<ApiResponse> callback) {
+        if (!view.isFresh()) {
+            callback.accept(unavailable("this node's frame is not confirmed"));
+            return;
+        }
+        final Consumer<ApiResponse> once = inContact(callback);
+        final String name = (purge.tag() != null ? "t." : "h.")
+                + Long.toHexString(Hash.hash64(purge.tag() != null ? purge.tag() : purge.host() + "|" + purge.path()));
+        final ItemId id = new ItemId(ItemKind.PURGE, name);
+        final String writeId = writeIds.get();
+        final String body = Json.write(purge);
+        proposer.propose(
+                id,
+                writeId,
+                WRITE_TIMEOUT_MS,
+                now -> {
+                    final Item next = now.successor(body, writeId);
+                    return Optional.of(new Item(id, items.nextVersion(next), next.body(), false, writeId));
+                },
+                reply -> once.accept(
+                        reply.isAccepted()
+                                ? ApiResponse.done(
+                                        "item",
+                                        "purge/" + name,
+                                        "version",
+                                        reply.item().version().number())
+                                : unavailable("no majority confirmed the purge")));
+    }
+
+    /** All that stands, as of a moment after the question: nothing accepted before is missing. */
+    public void readAll(final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
+        readAll(ResponseDeadline.CONTACT_TIMEOUT_MS, callback);
+    }
+
+    public void readAll(final long timeoutMs, final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
+        view.awaitConfirmation(loop.now(), timeoutMs, ok -> {
+            if (!ok) {
+                callback.accept(Optional.empty());
+                return;
+            }
+            final Map<ItemKind, Map<String, Item>> all = new HashMap<>();
+            items.all().stream()
+                    .map(ChosenItem::item)
+                    .filter(item -> item.exists() && item.id().kind().isOperatorDefined())
+                    .forEach(item -> all.computeIfAbsent(item.id().kind(), kind -> new TreeMap<>())
+                            .put(item.id().name(), item));
+            callback.accept(Optional.of(all));
+        });
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/placement/Regions.java
@@ -0,0 +1,8 @@
+package org.rowanvalve.control.placement;
+
+/** The places that shards belong to. */
+public interface Regions {
+    int indexOf(String cell);
+
+    int count();
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/placement/package-info.java
@@ -0,0 +1,5 @@
+/**
+ * Which shield owns which shard under which fencing token (the placement plan, a register), how owners are chosen, and
+ * how the shares of a rate limit follow demand.
+ */
+package org.rowanvalve.control.placement;
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
@@ -0,0 +1,282 @@
+package org.rowanvalve.control.reconfiguration;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Function;
+import java.util.function.IntSupplier;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.StandbyPrepareRequest;
+import org.rowanvalve.common.message.StandbyPrepareResponse;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.Member;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.election.LeaderElection;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.membership.Membership;
+import org.rowanvalve.control.view.ViewSynchronizer;
+import org.rowanvalve.control.voting.VoterAddress;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.control.voting.VotingSet;
+
+/**
+ * Keeps the voting set at its wanted size, on the acting lease authority only: a voter that is leaving or has been silent
+ * for too long is replaced by a standby, one a change. The change is written by ballot of the set that it ends.
+ */
+public final class VotingSetPlanner {
+    /** A voter that is silent for so long is replaced. */
+    public static final long SILENCE_TIMEOUT_MS = 2500;
+
+    private static final long INTERVAL_MS = 100;
+    private static final long WRITE_TIMEOUT_MS = 1000;
+    private static final long STANDBY_TIMEOUT_MS = 800;
+    /** How often the next standby is kept up to date. */
+    private static final long STANDBY_REFRESH_MS = 2000;
+    /** The least time between two changes that nothing presses for. */
+    private static final long MIN_CHANGE_INTERVAL_MS = 2000;
+    /** How long a change waits for voters that have not taken over yet. */
+    private static final long JOIN_TIMEOUT_MS = 3000;
+    /** A standby has been heard for so long, and has not been silent for longer. */
+    private static final long SETTLED_MS = 1000;
+
+    private final NodeId self;
+    private final VotingConfiguration votingConfiguration;
+    private final Membership membership;
+    private final ViewSynchronizer view;
+    private final Proposer proposer;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final EventJournal journal;
+    private final IntSupplier toleratedLosses;
+    private final Comparator<Member> leastSharedFirst;
+    private LeaderElection election;
+    private long term = -1;
+    private long electedAt;
+    private long lastChangeAt;
+    private long standbyRefreshedAt;
+    private boolean changing;
+
+    /** What to do next: {@code removed} and {@code added} may be null. */
+    record SetChange(NodeId removed, NodeId added, String reason) {}
+
+    /** {@code toleratedLosses}: how many voters may be lost at once; 0 keeps the size of the set. */
+    public VotingSetPlanner(
+            final NodeId self,
+            final VotingConfiguration votingConfiguration,
+            final Membership membership,
+            final ViewSynchronizer view,
+            final Proposer proposer,
+            final EventLoop loop,
+            final Transport transport,
+            final EventJournal journal,
+            final IntSupplier toleratedLosses) {
+        this.self = self;
+        this.votingConfiguration = votingConfiguration;
+        this.membership = membership;
+        this.view = view;
+        this.proposer = proposer;
+        this.loop = loop;
+        this.transport = transport;
+        this.journal = journal;
+        this.toleratedLosses = toleratedLosses;
+        this.leastSharedFirst = Comparator.comparingLong((Member member) -> voters(member, Member::location))
+                .thenComparingLong(member -> voters(member, VotingSetPlanner::region))
+                .thenComparing(Member::id);
+    }
+
+    public void start(final LeaderElection authority) {
+        election = authority;
+        votingConfiguration.addListener(() -> lastChangeAt = loop.now());
+        loop.scheduleRepeatedly(INTERVAL_MS, this::tick);
+    }
+
+    private static String region(final Member member) {
+        return member.location().substring(0, member.location().lastIndexOf('/') + 1);
+    }
+
+    /** How many present voters share a place with this member. */
+    private long voters(final Member member, final Function<Member, String> place) {
+        return votingConfiguration.voters().stream()
+                .map(membership::get)
+                .filter(voter -> voter != null && place.apply(voter).equals(place.apply(member)))
+                .count();
+    }
+
+    private void tick() {
+        if (!election.isLeader()) {
+            term = -1;
+            return;
+        }
+        if (election.term() != term) {
+            term = election.term();
+            electedAt = loop.now();
+        }
+        if (!changing && view.isFresh() && view.isConfirmedInEpoch()) {
+            nextChange().ifPresentOrElse(this::prepareChange, this::refreshStandby);
+        }
+    }
+
+    /** Nothing is due: the standby that would be next has what it needs beforehand. */
+    private void refreshStandby() {
+        if (loop.now() - standbyRefreshedAt >= STANDBY_REFRESH_MS) {
+            standbyRefreshedAt = loop.now();
+            standbys().stream()
+                    .findFirst()
+                    .ifPresent(standby -> transport.request(
+                            standby,
+                            new StandbyPrepareRequest(votingConfiguration.epoch()),
+                            STANDBY_TIMEOUT_MS,
+                            reply -> votingConfiguration.isEpochMismatch(standby, reply)));
+        }
+    }
+
+    /** The next change, if one is due and the present set has taken over. */
+    Optional<SetChange> nextChange() {
+        final List<NodeId> leaving = votingConfiguration.voters().stream()
+                .filter(voter -> !voter.equals(self) && condition(voter) == NodeStatus.DRAINING)
+                .toList();
+        final List<NodeId> lost =
+                votingConfiguration.voters().stream().filter(this::isLost).toList();
+        if (loop.now() - lastChangeAt < JOIN_TIMEOUT_MS && !allJoined(leaving, lost)) {
+            return Optional.empty();
+        }
+        final List<NodeId> standbys = standbys();
+        if (!leaving.isEmpty() || !lost.isEmpty()) {
+            final NodeId out = leaving.isEmpty() ? lost.get(0) : leaving.get(0);
+            final String reason = leaving.isEmpty() ? "silent" : "leaving";
+            return standbys.isEmpty()
+                    ? shrinkBy(out, reason)
+                    : Optional.of(new SetChange(out, standbys.get(0), reason));
+        }
+        final boolean rested =
+                loop.now() - lastChangeAt >= MIN_CHANGE_INTERVAL_MS && loop.now() - electedAt >= MIN_CHANGE_INTERVAL_MS;
+        return rested && votingConfiguration.voters().size() < wantedSize(standbys.size()) && !standbys.isEmpty()
+                ? Optional.of(new SetChange(null, standbys.get(0), "size"))
+                : Optional.empty();
+    }
+
+    /** Of an even number one that is gone can be spared: the majority needs one less. */
+    private Optional<SetChange> shrinkBy(final NodeId leaving, final String reason) {
+        final int size = votingConfiguration.voters().size();
+        return size > 2 && size % 2 == 0 ? Optional.of(new SetChange(leaving, null, reason)) : Optional.empty();
+    }
+
+    /** As many as the losses need, but an odd number and no more than there are. */
+    private int wantedSize(final int standbys) {
+        final int most = votingConfiguration.voters().size() + standbys;
+        final int odd = most % 2 == 0 ? most - 1 : most;
+        return toleratedLosses.getAsInt() == 0 ? 0 : Math.min(2 * toleratedLosses.getAsInt() + 1, odd);
+    }
+
+    /** Whether every voter that is here has answered in the present epoch. */
+    private boolean allJoined(final List<NodeId> leaving, final List<NodeId> lost) {
+        return votingConfiguration.voters().stream()
+                .allMatch(voter -> view.hasConfirmed(voter) || leaving.contains(voter) || lost.contains(voter));
+    }
+
+    private NodeStatus condition(final NodeId id) {
+        final Member member = membership.get(id);
+        return member == null ? NodeStatus.UNREADY : member.status();
+    }
+
+    /** Silence counts from the last word, and for one that was never heard from the beginning of this authority's term. */
+    private boolean isLost(final NodeId id) {
+        if (id.equals(self) || loop.now() - electedAt < SETTLED_MS) {
+            return false;
+        }
+        final long silence = membership.silenceMs(id);
+        return Math.min(silence, membership.get(id) == null ? loop.now() - electedAt : silence) >= SILENCE_TIMEOUT_MS;
+    }
+
+    private List<NodeId> standbys() {
+        return membership.liveMembers(Role.SHIELD).stream()
+                .filter(member -> !votingConfiguration.isVoter(member.id()))
+                .filter(member -> member.status() != NodeStatus.DRAINING && member.status() != NodeStatus.UNREADY)
+                .filter(member -> membership.silenceMs(member.id()) < SETTLED_MS
+                        && membership.knownForMs(member.id()) >= SETTLED_MS)
+                .sorted(leastSharedFirst)
+                .map(Member::id)
+                .toList();
+    }
+
+    /** The standby gets ready first, so that the set stands still for a moment only. */
+    private void prepareChange(final SetChange change) {
+        changing = true;
+        journal.add(Event.of(
+                EventCode.VOTERS_PROPOSED,
+                "epoch",
+                votingConfiguration.epoch() + 1,
+                "out",
+                String.valueOf(change.removed()),
+                "in",
+                String.valueOf(change.added()),
+                "why",
+                change.reason()));
+        if (change.added() == null) {
+            writeChange(change);
+            return;
+        }
+        transport.request(
+                change.added(), new StandbyPrepareRequest(votingConfiguration.epoch()), STANDBY_TIMEOUT_MS, reply -> {
+                    votingConfiguration.isEpochMismatch(change.added(), reply);
+                    if (reply.as(StandbyPrepareResponse.class)
+                                    .filter(StandbyPrepareResponse::ready)
+                                    .isPresent()
+                            && election.isLeader()) {
+                        writeChange(change);
+                    } else {
+                        changing = false;
+                        journal.add(Event.of(
+                                EventCode.STANDBY_LATE, "node", change.added().text()));
+                    }
+                });
+    }
+
+    private void writeChange(final SetChange change) {
+        final long epoch = votingConfiguration.epoch();
+        final List<String> present =
+                votingConfiguration.voters().stream().map(this::address).toList();
+        final List<String> next = new ArrayList<>();
+        votingConfiguration.voters().stream()
+                .filter(voter -> !voter.equals(change.removed()))
+                .map(this::address)
+                .forEach(next::add);
+        if (change.added() != null) {
+            next.add(address(change.added()));
+        }
+        final String body = Json.write(new VotingSet(next, present));
+        final String tag = "voters-" + self + "-" + term + "-" + (epoch + 1) + "-" + loop.now();
+        proposer.propose(
+                ItemId.VOTERS,
+                tag,
+                WRITE_TIMEOUT_MS,
+                now -> now.version().number() == epoch ? Optional.of(now.successor(body, tag)) : Optional.empty(),
+                reply -> {
+                    changing = false;
+                    journal.add(Event.of(
+                            EventCode.VOTERS_WRITTEN,
+                            "epoch",
+                            epoch + 1,
+                            "fate",
+                            reply.status().name()));
+                });
+    }
+
+    private String address(final NodeId id) {
+        final Member member = membership.get(id);
+        return votingConfiguration.addresses().stream()
+                .filter(a -> VoterAddress.parse(a).id().equals(id))
+                .findFirst()
+                .orElseGet(() -> new VoterAddress(
+                                id, member == null ? "0.0.0.0" : member.host(), member == null ? 0 : member.port())
+                        .toString());
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
@@ -0,0 +1,429 @@
+package org.rowanvalve.control.record;
+
+import com.fasterxml.jackson.annotation.JsonProperty;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.AgedRecord;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MessageCodec;
+import org.rowanvalve.common.message.MessageFormatException;
+import org.rowanvalve.common.message.OutcomeRequest;
+import org.rowanvalve.common.message.OutcomeResponse;
+import org.rowanvalve.common.message.RecordChecksumsRequest;
+import org.rowanvalve.common.message.RecordChecksumsResponse;
+import org.rowanvalve.common.message.RecordHandoverResponse;
+import org.rowanvalve.common.message.RecordPageRequest;
+import org.rowanvalve.common.message.RecordPageResponse;
+import org.rowanvalve.common.message.RecordReadRequest;
+import org.rowanvalve.common.message.RecordReadResponse;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.RecordWriteResponse;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.consensus.MonitoredStorage;
+import org.rowanvalve.control.consensus.RecordHandover;
+import org.rowanvalve.control.voting.VotingConfiguration;
+
+/**
+ * Remembers intents and outcomes of keyed requests; bars tokens below the highest it was read with. Each write names
+ * the era in which its writer read this keeper: whoever rebuilds a lost memory from here ends the era, so that no
+ * intent can stand on an answer given before the loss and one given after the rebuilding.
+ */
+public final class KeyedRecordStore implements RecordHandover, RecordRecovery.Records {
+    private static final String RECORD_PREFIX = "k/";
+    private static final String TOKEN_FLOOR_PREFIX = "b/";
+    private static final String INCOMPLETE_KEY = "lapse";
+    private static final String ERA_KEY = "era";
+    private static final long SWEEP_INTERVAL_MS = 1000;
+    private static final int REMEMBERED_REQUESTERS = 64;
+    private final EventLoop loop;
+    private final LongSupplier wallClock;
+    private final MonitoredStorage storage;
+    private final EventJournal journal;
+    private final RecordRetention retention;
+    private final KeyedRecordTable table = new KeyedRecordTable();
+    private final RecordRecovery recovery;
+    private final Map<Integer, FencingToken> tokenFloors = new HashMap<>();
+    private final Map<Integer, String> lastReaders = new HashMap<>();
+    private final Map<Integer, TokenFloor> syncedFloors = new HashMap<>();
+    /** For whom this era was ended already; a repeated question does not end another. */
+    private final Set<String> eraEndedFor = Collections.newSetFromMap(new LinkedHashMap<>() {
+        @Override
+        protected boolean removeEldestEntry(final Map.Entry<String, Boolean> eldest) {
+            return size() > REMEMBERED_REQUESTERS;
+        }
+    });
+
+    private long incompleteSince = Long.MIN_VALUE;
+    private boolean incomplete;
+    /** The end of the lapse is on its way to the disk: what is saved behind it must not bring it back there. */
+    private boolean clearingIncomplete;
+
+    private long era;
+
+    public record Incomplete(long since) {}
+
+    public record TokenFloor(
+            long term, long count, @JsonProperty("boot") String reader) {}
+
+    public record Era(@JsonProperty("n") long number) {}
+
+    public KeyedRecordStore(
+            final NodeId self,
+            final String boot,
+            final VotingConfiguration votingConfiguration,
+            final Transport transport,
+            final EventLoop loop,
+            final LongSupplier wallClock,
+            final MonitoredStorage storage,
+            final EventJournal journal,
+            final RecordRetention retention) {
+        final String name = self + "/" + boot;
+        this.era = Hash.hash64(name) >>> 1;
+        this.loop = loop;
+        this.wallClock = wallClock;
+        this.storage = storage;
+        this.journal = journal;
+        this.retention = retention;
+        this.recovery = new RecordRecovery(self, name, votingConfiguration, transport, loop, journal, table, this);
+    }
+
+    public void start() throws StorageException {
+        final long merged = wallClock.getAsLong();
+        try {
+            for (final Map.Entry<String, byte[]> row : storage.load().entrySet()) {
+                load(row.getKey(), row.getValue(), merged);
+            }
+        } catch (final MessageFormatException row) {
+            throw new StorageException("keeper rows cannot be read", row);
+        }
+        recovery.start();
+        loop.scheduleRepeatedly(SWEEP_INTERVAL_MS, this::removeExpired);
+    }
+
+    private void load(final String key, final byte[] row, final long merged) throws MessageFormatException {
+        if (key.startsWith(RECORD_PREFIX)) {
+            final KeyedRecordTable.Row r = MessageCodec.decode(row, KeyedRecordTable.Row.class);
+            final long retentionMs = r.retentionMs() > 0 ? r.retentionMs() : retention.retentionMs();
+            table.put(new KeyedRecordTable.Row(r.keyedRecord(), Math.min(r.writtenAt(), merged), retentionMs));
+        } else if (key.startsWith(TOKEN_FLOOR_PREFIX)) {
+            final int shard = Integer.parseInt(key.substring(TOKEN_FLOOR_PREFIX.length()));
+            final TokenFloor tokenFloor = MessageCodec.decode(row, TokenFloor.class);
+            tokenFloors.put(shard, new FencingToken(tokenFloor.term(), tokenFloor.count()));
+            lastReaders.put(shard, tokenFloor.reader() == null ? "" : tokenFloor.reader());
+            syncedFloors.put(shard, tokenFloor);
+        } else if (key.equals(INCOMPLETE_KEY)) {
+            incompleteSince =
+                    Math.min(merged, MessageCodec.decode(row, Incomplete.class).since());
+            incomplete = true;
+        } else if (key.equals(ERA_KEY)) {
+            era = MessageCodec.decode(row, Era.class).number();
+        }
+    }
+
+    /** Whether this keeper lacks records that it may once have held, and that may still matter. */
+    @Override
+    public boolean isIncomplete() {
+        return incomplete && wallClock.getAsLong() < incompleteSince + retention.retentionMs();
+    }
+
+    /** These records lack what they held before, also after a restart; the others' are copied from now on. */
+    @Override
+    public Map<String, byte[]> markIncomplete() {
+        incomplete = true;
+        incompleteSince = wallClock.getAsLong();
+        loop.execute(recovery::recover);
+        return incompleteRows();
+    }
+
+    private Map<String, byte[]> incompleteRows() {
+        return isIncomplete() && !clearingIncomplete
+                ? Map.of(INCOMPLETE_KEY, MessageCodec.encode(new Incomplete(incompleteSince)))
+                : Map.of();
+    }
+
+    public int size() {
+        return table.size();
+    }
+
+    /** A holder reads a shard's records; whoever reads last is the only one to write from then on. */
+    public void onRead(final RecordReadRequest request, final Consumer<Message> callback) {
+        final FencingToken tokenFloor = tokenFloors.getOrDefault(request.shard(), FencingToken.ZERO);
+        if (storage.isStalled()) {
+            callback.accept(new RejectedResponse(RejectedResponse.STORAGE_UNAVAILABLE));
+        } else if (request.token().isBelow(tokenFloor)) {
+            callback.accept(rejection(tokenFloor));
+        } else if (request.afterKey() == null) {
+            beginRead(request, callback);
+        } else if (request.era() != era(request.shard()) || !request.token().equals(tokenFloor)) {
+            callback.accept(rejection(tokenFloor));
+        } else {
+            callback.accept(respondWithPage(request));
+        }
+    }
+
+    private RecordReadResponse rejection(final FencingToken tokenFloor) {
+        return new RecordReadResponse(false, isIncomplete(), tokenFloor, List.of(), 0, null);
+    }
+
+    private void beginRead(final RecordReadRequest request, final Consumer<Message> callback) {
+        final String reader = request.reader() == null ? "" : request.reader();
+        final TokenFloor tokenFloor =
+                new TokenFloor(request.token().term(), request.token().count(), reader);
+        tokenFloors.put(request.shard(), request.token());
+        lastReaders.put(request.shard(), reader);
+        if (tokenFloor.equals(syncedFloors.get(request.shard()))) {
+            callback.accept(respondWithPage(request));
+            return;
+        }
+        syncedFloors.remove(request.shard());
+        saveRow(TOKEN_FLOOR_PREFIX + request.shard(), tokenFloor, ok -> {
+            if (ok
+                    && reader.equals(lastReaders.get(request.shard()))
+                    && request.token().equals(tokenFloors.get(request.shard()))) {
+                syncedFloors.put(request.shard(), tokenFloor);
+                callback.accept(respondWithPage(request));
+            }
+        });
+    }
+
+    /** What this keeper holds in a lapse counts for nothing and is not sent. */
+    private RecordReadResponse respondWithPage(final RecordReadRequest request) {
+        final int bytes = request.paged() ? KeyedRecordTable.LIGHT_PAGE_BYTES : Integer.MAX_VALUE;
+        final KeyedRecordTable.Page page = isIncomplete()
+                ? new KeyedRecordTable.Page(List.of(), null)
+                : table.pageOfShard(request.shard(), request.afterKey(), bytes);
+        final List<KeyedRecord> records = page.rows().stream()
+                .map(KeyedRecordTable.Row::keyedRecord)
+                .map(request.paged() ? KeyedRecord::withoutBody : KeyedRecord::withoutOutcome)
+                .toList();
+        return new RecordReadResponse(
+                true, isIncomplete(), request.token(), records, era(request.shard()), page.nextKey());
+    }
+
+    /** What a writer must show: that it was the last to read this shard here, in this era. */
+    private long era(final int shard) {
+        return era ^ Hash.hash64(lastReaders.getOrDefault(shard, ""));
+    }
+
+    public void onWrite(final RecordWriteRequest request, final Consumer<Message> callback) {
+        final KeyedRecord record = request.keyedRecord();
+        if (storage.isStalled()) {
+            callback.accept(new RejectedResponse(RejectedResponse.STORAGE_UNAVAILABLE));
+            return;
+        }
+        if (request.era() != era(record.shard())) {
+            callback.accept(new RecordWriteResponse(false, isIncomplete(), true));
+            return;
+        }
+        if (record.token().isBelow(tokenFloors.getOrDefault(record.shard(), FencingToken.ZERO))) {
+            callback.accept(new RecordWriteResponse(false, isIncomplete(), false));
+            return;
+        }
+        final KeyedRecordTable.Row stored = table.get(record.key());
+        final KeyedRecord merged = record.mergedOver(stored == null ? null : stored.keyedRecord());
+        final KeyedRecordTable.Row row = merged == record
+                ? new KeyedRecordTable.Row(record, wallClock.getAsLong(), retention.retentionMs())
+                : stored;
+        table.put(row);
+        saveRow(RECORD_PREFIX + record.key(), row, ok -> {
+            if (ok) {
+                callback.accept(new RecordWriteResponse(true, isIncomplete(), false));
+            }
+        });
+    }
+
+    /** An outcome is a fact, whoever asks for it and when. */
+    public void onOutcomeRequest(final OutcomeRequest request, final Consumer<Message> callback) {
+        final KeyedRecordTable.Row row = table.get(request.key());
+        callback.accept(
+                new OutcomeResponse(row == null || row.keyedRecord().outcome() == null ? null : row.keyedRecord()));
+    }
+
+    /** Another keeper that lost its memory begins to copy this one's; with a bar this era ends before the first answer. */
+    public void onChecksumsRequest(final RecordChecksumsRequest request, final Consumer<Message> callback) {
+        if (isIncomplete()) {
+            callback.accept(new RecordChecksumsResponse(false, List.of(), Map.of()));
+        } else if (request.endEra()) {
+            endEra(request.requester(), () -> callback.accept(checksumsResponse()));
+        } else {
+            callback.accept(checksumsResponse());
+        }
+    }
+
+    private void endEra(final String asker, final Runnable then) {
+        if (eraEndedFor.add(asker)) {
+            era++;
+        }
+        saveRow(ERA_KEY, new Era(era), ok -> {
+            if (ok) {
+                then.run();
+            }
+        });
+    }
+
+    private RecordChecksumsResponse checksumsResponse() {
+        return new RecordChecksumsResponse(true, table.bucketSums(), Map.copyOf(tokenFloors));
+    }
+
+    public void onPageRequest(final RecordPageRequest request, final Consumer<Message> callback) {
+        if (isIncomplete()) {
+            callback.accept(new RecordPageResponse(false, List.of(), 0, null));
+            return;
+        }
+        callback.accept(pageResponse(table.pageOfBuckets(request.buckets(), request.afterKey())));
+    }
+
+    private RecordPageResponse pageResponse(final KeyedRecordTable.Page page) {
+        final long merged = wallClock.getAsLong();
+        final List<AgedRecord> records = page.rows().stream()
+                .map(row -> new AgedRecord(row.keyedRecord(), Math.max(0, merged - row.writtenAt()), row.retentionMs()))
+                .toList();
+        return new RecordPageResponse(true, records, KeyedRecordTable.checksumOf(records), page.nextKey());
+    }
+
+    /** A standby gets ready to vote: {@code then} hears whether it holds what some voter held a moment ago. */
+    public void prepareStandby(final Consumer<Boolean> then) {
+        recovery.prepareStandby(then);
+    }
+
+    /** Every voter that counts has been copied: the lapse ends once all is synced. */
+    @Override
+    public void onRecovered(final Consumer<Boolean> then) {
+        final Map<String, byte[]> rows = new HashMap<>();
+        rows.put(INCOMPLETE_KEY, null);
+        clearingIncomplete = true;
+        storage.save(rows, ok -> {
+            clearingIncomplete = false;
+            incomplete &= !ok;
+            then.accept(ok);
+        });
+    }
+
+    @Override
+    public void raiseTokenFloors(final Map<Integer, FencingToken> otherFloors) {
+        final Map<String, byte[]> rows = new HashMap<>();
+        otherFloors.forEach((shard, token) -> {
+            if (tokenFloors.getOrDefault(shard, FencingToken.ZERO).isBelow(token)) {
+                tokenFloors.put(shard, token);
+                lastReaders.remove(shard);
+                syncedFloors.remove(shard);
+                rows.put(
+                        TOKEN_FLOOR_PREFIX + shard,
+                        MessageCodec.encode(new TokenFloor(token.term(), token.count(), "")));
+            }
+        });
+        saveRows(rows, ok -> {});
+    }
+
+    @Override
+    public void mergeRecords(final List<AgedRecord> records) {
+        final Map<String, byte[]> rows = new HashMap<>();
+        records.forEach(record -> {
+            final KeyedRecordTable.Row row = mergedRow(record);
+            table.put(row);
+            rows.put(RECORD_PREFIX + row.keyedRecord().key(), MessageCodec.encode(row));
+        });
+        saveRows(rows, ok -> {});
+    }
+
+    @Override
+    public List<Long> checksums() {
+        return table.bucketSums();
+    }
+
+    @Override
+    public RecordHandoverResponse page(final List<Long> otherFloors, final String after) {
+        final List<Integer> cells = table.differingBuckets(otherFloors).stream()
+                .filter(c -> after == null || c >= KeyedRecordTable.bucket(after))
+                .toList();
+        final String from =
+                after == null || cells.isEmpty() || cells.get(0) != KeyedRecordTable.bucket(after) ? null : after;
+        return new RecordHandoverResponse(Map.copyOf(tokenFloors), pageResponse(table.pageOfBuckets(cells, from)));
+    }
+
+    @Override
+    public boolean mergePage(final RecordHandoverResponse handed) {
+        if (!KeyedRecordTable.isIntact(handed.page())) {
+            journal.add(Event.of(
+                    EventCode.RECORDS_BAD, "records", handed.page().records().size()));
+            return false;
+        }
+        raiseTokenFloors(handed.tokenFloors());
+        mergeRecords(handed.page().records());
+        return true;
+    }
+
+    /** Nobody has read these shards in the epoch that begins: every holder reads them anew. */
+    @Override
+    public Map<String, byte[]> handoverRows() {
+        final Map<String, byte[]> rows = new HashMap<>();
+        tokenFloors.forEach((shard, token) -> rows.put(
+                TOKEN_FLOOR_PREFIX + shard, MessageCodec.encode(new TokenFloor(token.term(), token.count(), ""))));
+        rows.put(INCOMPLETE_KEY, null);
+        return rows;
+    }
+
+    @Override
+    public void onJoined() {
+        lastReaders.clear();
+        syncedFloors.clear();
+        incomplete = false;
+    }
+
+    private KeyedRecordTable.Row mergedRow(final AgedRecord copied) {
+        final long writtenAt = wallClock.getAsLong() - copied.ageMs();
+        final KeyedRecordTable.Row stored = table.get(copied.keyedRecord().key());
+        return stored == null
+                ? new KeyedRecordTable.Row(copied.keyedRecord(), writtenAt, copied.retentionMs())
+                : new KeyedRecordTable.Row(
+                        KeyedRecord.resolve(List.of(stored.keyedRecord(), copied.keyedRecord())),
+                        Math.max(stored.writtenAt(), writtenAt),
+                        Math.max(stored.retentionMs(), copied.retentionMs()));
+    }
+
+    private void saveRow(final String key, final Object row, final Consumer<Boolean> then) {
+        saveRows(Map.of(key, MessageCodec.encode(row)), then);
+    }
+
+    /** While memory is short of what it once held, every row saved says so too. */
+    private void saveRows(final Map<String, byte[]> rowsToSave, final Consumer<Boolean> then) {
+        final Map<String, byte[]> rows = new HashMap<>(rowsToSave);
+        rows.putAll(incompleteRows());
+        if (!rows.isEmpty()) {
+            storage.save(rows, then);
+        }
+    }
+
+    private void removeExpired() {
+        final long merged = wallClock.getAsLong();
+        final long retentionMs = retention.retentionMs();
+        final List<String> expired = table.all().stream()
+                .filter(row -> row.isExpired(merged, retentionMs))
+                .map(row -> row.keyedRecord().key())
+                .toList();
+        final Map<String, byte[]> rows = new HashMap<>();
+        expired.forEach(key -> {
+            table.remove(key);
+            rows.put(RECORD_PREFIX + key, null);
+        });
+        if (!rows.isEmpty()) {
+            storage.save(rows, ok -> {});
+        }
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemDigest.java
@@ -0,0 +1,49 @@
+package org.rowanvalve.control.store;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+
+/** Sums over (item, version): one over all, one for each cell, so that two nodes find where they differ. */
+public final class ItemDigest {
+    public static final int BUCKETS = 64;
+    private final long[] bucketSums = new long[BUCKETS];
+    private long total;
+
+    public static int bucket(final ItemId id) {
+        return (int) (Hash.hash64(id.text()) & BUCKETS - 1);
+    }
+
+    public void replace(final Item previous, final Item current) {
+        final int bucket = bucket(current.id());
+        final long change = (previous != null && previous.version().number() > 0 ? previous.checksum() : 0)
+                ^ (current.version().number() > 0 ? current.checksum() : 0);
+        bucketSums[bucket] ^= change;
+        total ^= change;
+    }
+
+    public long total() {
+        return total;
+    }
+
+    public List<Long> bucketSums() {
+        final List<Long> list = new ArrayList<>();
+        for (final long s : bucketSums) {
+            list.add(s);
+        }
+        return list;
+    }
+
+    /** The cells in which another's sums differ from these. */
+    public List<Integer> differingBuckets(final List<Long> other) {
+        final List<Integer> list = new ArrayList<>();
+        for (int i = 0; i < BUCKETS; i++) {
+            if (bucketSums[i] != other.get(i)) {
+                list.add(i);
+            }
+        }
+        return list;
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemStore.java
@@ -0,0 +1,136 @@
+package org.rowanvalve.control.store;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.eclipse.collections.api.map.ImmutableMap;
+import org.eclipse.collections.api.map.MutableMap;
+import org.eclipse.collections.impl.factory.Maps;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.common.runtime.EventLoop;
+
+/** The chosen items a node has learned. Versions never fall. */
+public final class ItemStore {
+    private final EventLoop loop;
+    private final EventJournal journal;
+    private final MutableMap<ItemId, ChosenItem> items = Maps.mutable.empty();
+    private final Map<ItemId, Long> learnedAt = new HashMap<>();
+    private final List<Consumer<Item>> listeners = new ArrayList<>();
+    private final ItemDigest digest = new ItemDigest();
+    private final Map<ItemKind, Long> highestVersions = new HashMap<>();
+    private CollectionFloor collectionFloor = CollectionFloor.NONE;
+
+    public ItemStore(final EventLoop loop, final EventJournal journal) {
+        this.loop = loop;
+        this.journal = journal;
+    }
+
+    public void addListener(final Consumer<Item> view) {
+        listeners.add(view);
+    }
+
+    public boolean merge(final ChosenItem chosen) {
+        final Item item = chosen.item();
+        final Item previous = get(item.id());
+        if (!item.version().isAbove(previous.version())
+                || collectionFloor.covers(item.id(), item.version().number())) {
+            return false;
+        }
+        digest.replace(previous, item);
+        items.put(item.id(), chosen);
+        learnedAt.put(item.id(), loop.now());
+        journal.add(Event.of(
+                EventCode.LEARNED,
+                "item",
+                item.id().text(),
+                "ver",
+                item.version().number(),
+                "gone",
+                item.deleted()));
+        listeners.forEach(v -> v.accept(item));
+        highestVersions.merge(item.id().kind(), item.version().number(), Math::max);
+        if (item.id().equals(CollectionFloor.ID)) {
+            collect(CollectionFloor.of(item));
+        }
+        return true;
+    }
+
+    private void collect(final CollectionFloor now) {
+        collectionFloor = now;
+        final List<Item> dead = items.values().stream()
+                .map(ChosenItem::item)
+                .filter(item -> collectionFloor.covers(item.id(), item.version().number()))
+                .toList();
+        for (final Item item : dead) {
+            digest.replace(item, Item.none(item.id()));
+            items.remove(item.id());
+            learnedAt.remove(item.id());
+            listeners.forEach(v -> v.accept(Item.none(item.id())));
+        }
+        journal.add(
+                Event.of(EventCode.SWEPT, "purges", now.purges(), "origins", now.origins(), "dropped", dead.size()));
+    }
+
+    public CollectionFloor collectionFloor() {
+        return collectionFloor;
+    }
+
+    /** The version of the next item of a kind whose versions rise together. */
+    public Version nextVersion(final Item next) {
+        final ItemKind kind = next.id().kind();
+        final long least = 1 + Math.max(collectionFloor.floor(kind), highestVersions.getOrDefault(kind, 0L));
+        return kind.sharesVersionCounter() && least > next.version().number() ? new Version(least) : next.version();
+    }
+
+    public Item get(final ItemId id) {
+        final ChosenItem chosen = items.get(id);
+        return chosen == null ? Item.none(id) : chosen.item();
+    }
+
+    public long now() {
+        return loop.now();
+    }
+
+    public long learnedAt(final ItemId id) {
+        return learnedAt.getOrDefault(id, 0L);
+    }
+
+    public Collection<ChosenItem> all() {
+        return items.values();
+    }
+
+    public List<ChosenItem> chosenItems(final Collection<ItemId> itemIds) {
+        return itemIds.stream()
+                .map(items::get)
+                .filter(java.util.Objects::nonNull)
+                .toList();
+    }
+
+    public ImmutableMap<ItemId, ChosenItem> snapshot() {
+        return items.toImmutable();
+    }
+
+    public Map<ItemId, Version> versions(final Collection<Integer> cells) {
+        final Map<ItemId, Version> vers = new HashMap<>();
+        items.forEachKeyValue((k, chosen) -> {
+            if (cells.contains(ItemDigest.bucket(k))) {
+                vers.put(k, chosen.item().version());
+            }
+        });
+        return vers;
+    }
+
+    public ItemDigest digest() {
+        return digest;
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
@@ -0,0 +1,113 @@
+package org.rowanvalve.control.view;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.DigestRequest;
+import org.rowanvalve.common.message.DigestResponse;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MissingItemsRequest;
+import org.rowanvalve.common.message.MissingItemsResponse;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.consensus.Acceptor;
+import org.rowanvalve.control.store.ItemDigest;
+import org.rowanvalve.control.store.ItemStore;
+
+/** The electors' side of the questions. */
+public final class ViewServer {
+    private static final int MAX_WANTED = 200;
+    private static final long POLL_MS = 10;
+    private static final long MAX_WAIT_MS = 300;
+    private final Acceptor acceptor;
+    private final ItemStore items;
+    private final EventLoop loop;
+
+    public ViewServer(final Acceptor acceptor, final ItemStore items, final EventLoop loop) {
+        this.acceptor = acceptor;
+        this.items = items;
+        this.loop = loop;
+    }
+
+    public void onDigestRequest(final DigestRequest request, final Consumer<Message> callback) {
+        final boolean matches = request.digest() == acceptor.digest().total();
+        callback.accept(acceptor.rejection(request.epoch())
+                .orElseGet(() -> new DigestResponse(
+                        matches, matches ? List.of() : acceptor.digest().bucketSums())));
+    }
+
+    public void onMissingItemsRequest(final MissingItemsRequest request, final Consumer<Message> callback) {
+        final Optional<Message> refusal = acceptor.rejection(request.epoch());
+        if (refusal.isPresent()) {
+            callback.accept(refusal.get());
+            return;
+        }
+        final Map<ItemId, Version> open = new HashMap<>();
+        acceptor.registers().forEach((id, register) -> {
+            final Version version = register.item().version();
+            final boolean renewal =
+                    id.equals(ItemId.LEADERSHIP) && items.get(id).version().number() > 0;
+            if (!renewal
+                    && request.buckets().contains(ItemDigest.bucket(id))
+                    && version.isAbove(items.get(id).version())
+                    && version.isAbove(request.versions().getOrDefault(id, Version.ZERO))) {
+                open.put(id, version);
+            }
+        });
+        awaitOpenWrites(request, open, loop.now() + MAX_WAIT_MS, callback);
+    }
+
+    /** What was accepted here and not known as chosen when the question came is waited for; later writes are not. */
+    private void awaitOpenWrites(
+            final MissingItemsRequest request,
+            final Map<ItemId, Version> open,
+            final long cutoff,
+            final Consumer<Message> callback) {
+        open.entrySet()
+                .removeIf(entry ->
+                        !entry.getValue().isAbove(items.get(entry.getKey()).version())
+                                || items.collectionFloor()
+                                        .covers(entry.getKey(), entry.getValue().number()));
+        if (!open.isEmpty() && loop.now() < cutoff) {
+            loop.schedule(POLL_MS, () -> awaitOpenWrites(request, open, cutoff, callback));
+        } else {
+            respond(request, open.isEmpty(), callback);
+        }
+    }
+
+    private void respond(
+            final MissingItemsRequest request, final boolean noOpenWrites, final Consumer<Message> callback) {
+        final List<ChosenItem> list = new ArrayList<>();
+        int size = 0;
+        boolean all = noOpenWrites && acceptor.rejection(request.epoch()).isEmpty();
+        for (final ChosenItem chosen : items.all()) {
+            if (request.buckets().contains(ItemDigest.bucket(chosen.item().id()))
+                    && chosen.item()
+                            .version()
+                            .isAbove(request.versions()
+                                    .getOrDefault(chosen.item().id(), Version.ZERO))) {
+                size += chosen.item().approximateBytes();
+                if (size > 1 << 20) {
+                    all = false;
+                    break;
+                }
+                list.add(chosen);
+            }
+        }
+        final List<ItemId> want = request.versions().entrySet().stream()
+                .filter(entry ->
+                        entry.getValue().isAbove(items.get(entry.getKey()).version())
+                                && !items.collectionFloor()
+                                        .covers(entry.getKey(), entry.getValue().number())
+                                && entry.getValue().isAbove(acceptor.version(entry.getKey())))
+                .map(Map.Entry::getKey)
+                .limit(MAX_WANTED)
+                .toList();
+        callback.accept(new MissingItemsResponse(list, all, want));
+    }
+}
--- /dev/null
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
@@ -0,0 +1,197 @@
+package org.rowanvalve.control.view;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.DigestRequest;
+import org.rowanvalve.common.message.DigestResponse;
+import org.rowanvalve.common.message.LearnNotification;
+import org.rowanvalve.common.message.MissingItemsRequest;
+import org.rowanvalve.common.message.MissingItemsResponse;
+import org.rowanvalve.common.model.LeaseTimings;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.VotingConfiguration;
+
+/** Asks the electors whether this node holds all they have accepted, and takes what it lacks. */
+public final class ViewSynchronizer {
+    private static final long NEVER = Long.MIN_VALUE / 2;
+    private final VotingConfiguration votingConfiguration;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final ItemStore items;
+    private LeaseTimings timings;
+    private final EventJournal journal;
+    private final Consumer<ChosenItem> learner;
+    private final Consumer<NodeId> onContact;
+    private final Map<NodeId, Long> confirmedBy = new HashMap<>();
+    private Quorum quorum;
+    private long previousConfirmation = NEVER;
+    private static final long INTERVAL_MS = 300;
+    private static final long STARTUP_MS = 6000;
+    private boolean wasFresh;
+    private long staleSince;
+    private int ticks;
+
+    public ViewSynchronizer(
+            final VotingConfiguration votingConfiguration,
+            final EventLoop loop,
+            final Transport transport,
+            final ItemStore items,
+            final LeaseTimings timings,
+            final EventJournal journal,
+            final Consumer<ChosenItem> learner,
+            final Consumer<NodeId> onContact) {
+        this.onContact = onContact;
+        this.learner = learner;
+        this.votingConfiguration = votingConfiguration;
+        this.loop = loop;
+        this.transport = transport;
+        this.items = items;
+        this.timings = timings;
+        this.quorum = votingConfiguration.quorum();
+        this.journal = journal;
+        votingConfiguration.addListener(this::onVotingSetChange);
+    }
+
+    /** What the earlier voters confirmed stays true for its moment; their answers don't count among those of the new set. */
+    private void onVotingSetChange() {
+        previousConfirmation = Math.max(previousConfirmation, majorityConfirmedAt());
+        confirmedBy.clear();
+        quorum = votingConfiguration.quorum();
+        loop.execute(this::poll);
+    }
+
+    /** From now on a frame counts for as long as these times say. */
+    public void timings(final LeaseTimings next) {
+        timings = next;
+    }
+
+    public void start() {
+        staleSince = loop.now();
+        loop.execute(this::poll);
+        loop.scheduleRepeatedly(INTERVAL_MS / 3, this::tick);
+    }
+
+    /** Asked more often for a while after a start or a loss, so that service is back soon. */
+    private void tick() {
+        if (isFresh()) {
+            staleSince = loop.now();
+        }
+        if (++ticks % 3 == 0 || !isFresh() && loop.now() - staleSince < STARTUP_MS) {
+            poll();
+        }
+    }
+
+    public void poll() {
+        final boolean now = isFresh();
+        if (now != wasFresh) {
+            wasFresh = now;
+            journal.add(Event.of(now ? EventCode.FRAME_FRESH : EventCode.FRAME_STALE, "age", now ? ageMs() : -1));
+        }
+        for (final NodeId voter : quorum.voters()) {
+            final long epoch = quorum.epoch();
+            final long sentAt = loop.now();
+            transport.request(voter, new DigestRequest(epoch, items.digest().total()), 700, reply -> {
+                votingConfiguration.isEpochMismatch(voter, reply);
+                reply.as(DigestResponse.class).ifPresent(response -> {
+                    onContact.accept(voter);
+                    if (response.matches()) {
+                        recordConfirmation(epoch, voter, sentAt);
+                    } else {
+                        requestMissing(epoch, voter, sentAt, items.digest().differingBuckets(response.bucketSums()));
+                    }
+                });
+            });
+        }
+    }
+
+    /** Cells that did not differ were equal after the question was sent, so its send time stands for all. */
+    private void requestMissing(final long epoch, final NodeId voter, final long sentAt, final List<Integer> buckets) {
+        if (buckets.isEmpty()) {
+            recordConfirmation(epoch, voter, sentAt);
+            return;
+        }
+        transport.request(
+                voter,
+                new MissingItemsRequest(epoch, buckets, items.versions(buckets)),
+                1000,
+                reply -> reply.as(MissingItemsResponse.class).ifPresent(response -> {
+                    response.items().forEach(learner);
+                    if (response.complete()) {
+                        recordConfirmation(epoch, voter, sentAt);
+                    }
+                    if (response.wanted() != null && !response.wanted().isEmpty()) {
+                        transport.request(
+                                voter, new LearnNotification(items.chosenItems(response.wanted())), 500, ignored -> {});
+                    }
+                }));
+    }
+
+    private void recordConfirmation(final long epoch, final NodeId voter, final long sentAt) {
+        if (epoch == quorum.epoch()) {
+            confirmedBy.merge(voter, sentAt, Math::max);
+        }
+    }
+
+    /** The newest instant for which a majority has confirmed this node's frame. */
+    public long confirmedAt() {
+        return Math.max(previousConfirmation, majorityConfirmedAt());
+    }
+
+    /** Whether a majority of the present set has confirmed a frame of this node since it became the present one. */
+    public boolean isConfirmedInEpoch() {
+        return majorityConfirmedAt() > NEVER;
+    }
+
+    /** Whether this voter has answered in the present epoch. */
+    public boolean hasConfirmed(final NodeId voter) {
+        return confirmedBy.containsKey(voter);
+    }
+
+    private long majorityConfirmedAt() {
+        if (confirmedBy.size() < quorum.majority()) {
+            return NEVER;
+        }
+        final List<Long> times = new ArrayList<>(confirmedBy.values());
+        times.sort(Comparator.reverseOrder());
+        return times.get(quorum.majority() - 1);
+    }
+
+    public long ageMs() {
+        return loop.now() - confirmedAt();
+    }
+
+    public boolean isFresh() {
+        return ageMs() < timings.maxViewAgeMs();
+    }
+
+    public void reset() {
+        confirmedBy.clear();
+        previousConfirmation = NEVER;
+    }
+
+    /** Hears true once a majority has confirmed the frame for an instant not before {@code since}. */
+    public void awaitConfirmation(final long since, final long timeoutMs, final Consumer<Boolean> callback) {
+        poll();
+        checkConfirmation(since, loop.now() + timeoutMs, callback);
+    }
+
+    private void checkConfirmation(final long since, final long deadline, final Consumer<Boolean> callback) {
+        if (confirmedAt() >= since || loop.now() >= deadline) {
+            callback.accept(confirmedAt() >= since);
+        } else {
+            loop.schedule(10, () -> checkConfirmation(since, deadline, callback));
+        }
+    }
+}
--- a/control/src/main/java/org/rowanvalve/control/Quorum.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/Quorum.java
@@ -1,8 +1,8 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.voting;
 
 import java.util.List;
 import java.util.Set;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.NodeId;
 
 /**
  * The voters of one epoch, and which of them are stores; where none is named, every voter has a disk. Answers that were
@@ -19,19 +19,20 @@
         this(0, voters, stores);
     }
 
-    public int need() {
+    public int majority() {
         return voters.size() / 2 + 1;
     }
 
-    public boolean read(final Set<NodeId> got) {
-        return got.size() >= need();
+    public boolean isReadQuorum(final Set<NodeId> responded) {
+        return responded.size() >= majority();
     }
 
-    public boolean write(final Set<NodeId> got) {
-        return got.size() >= need() && (stores.isEmpty() || got.stream().anyMatch(stores::contains));
+    public boolean isWriteQuorum(final Set<NodeId> responded) {
+        return responded.size() >= majority()
+                && (stores.isEmpty() || responded.stream().anyMatch(stores::contains));
     }
 
-    public boolean has(final NodeId id) {
+    public boolean contains(final NodeId id) {
         return voters.contains(id);
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/VoterAddress.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VoterAddress.java
@@ -1,6 +1,6 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.voting;
 
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.NodeId;
 
 /** A voter and where it is reached, written {@code ID@IP:PORT}. */
 public record VoterAddress(NodeId id, String host, int port) {
--- a/control/src/test/java/org/rowanvalve/control/SampleValues.java
+++ b/control/src/test/java/org/rowanvalve/control/SampleValues.java
@@ -11,22 +11,31 @@
 import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Token;
-import org.rowanvalve.common.Ver;
+import org.rowanvalve.common.message.AckResponse;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.ShardLease;
+import org.rowanvalve.common.message.UpdateForwardResponse;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.json.Json;
 
 /** Builds values of records by the order and types of their components, never by their names. */
 final class SampleValues {
     /** Texts that stand for one of a few values, by the position of their component. */
     private static final Map<Class<?>, Map<Integer, String>> CODES = Map.of(
-            Msg.Nay.class, Map.of(0, "disk"),
-            Msg.Claim.class, Map.of(2, "HELD"),
-            Msg.Filled.class, Map.of(0, "done"),
-            Msg.Ordered.class, Map.of(0, "STANDS"),
-            Match.class, Map.of(2, "cached"),
+            RejectedResponse.class, Map.of(0, "disk"),
+            ShardLease.class, Map.of(2, "HELD"),
+            ForwardResponse.class, Map.of(0, "done"),
+            UpdateForwardResponse.class, Map.of(0, "STANDS"),
+            Route.class, Map.of(2, "cached"),
             Service.class, Map.of(0, "content"),
             Origin.class, Map.of(4, "open"));
 
@@ -105,19 +114,19 @@
             return NodeId.of("node-" + n);
         }
         if (type == ItemId.class) {
-            return new ItemId(Kind.values()[(int) n % Kind.values().length], "item-" + n);
+            return new ItemId(ItemKind.values()[(int) n % ItemKind.values().length], "item-" + n);
         }
-        if (type == Ver.class) {
-            return new Ver(n);
+        if (type == Version.class) {
+            return new Version(n);
         }
-        if (type == Token.class) {
-            return new Token(n, n + 1);
+        if (type == FencingToken.class) {
+            return new FencingToken(n, n + 1);
         }
         if (type.isEnum()) {
             return type.getEnumConstants()[(int) n % type.getEnumConstants().length];
         }
-        if (type == Msg.class) {
-            return new Msg.Ok();
+        if (type == Message.class) {
+            return new AckResponse();
         }
         return record(type);
     }
--- a/control/src/test/java/org/rowanvalve/control/StoredFormatTest.java
+++ b/control/src/test/java/org/rowanvalve/control/StoredFormatTest.java
@@ -15,10 +15,26 @@
 import java.util.TreeMap;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Code;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MessageCodec;
+import org.rowanvalve.common.message.Register;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.config.RequestLimits;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.consensus.AcceptorState;
+import org.rowanvalve.control.election.Leadership;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.UpdateLedger;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.control.record.KeyedRecordStore;
+import org.rowanvalve.control.record.KeyedRecordTable;
+import org.rowanvalve.control.store.CollectionFloor;
+import org.rowanvalve.control.voting.VotingSet;
 
 /**
  * Frames between processes, rows on disk and bodies of items, as the build of the format's first release wrote them. What
@@ -33,26 +49,26 @@
     /** Rows on the disks of voters, by the name under which the file of formats has them. */
     private static final Map<String, Class<? extends Record>> ROWS = Map.of(
             "seal",
-            VoterMemory.Seal.class,
+            AcceptorState.Seal.class,
             "standby",
-            VoterMemory.Standby.class,
+            AcceptorState.Standby.class,
             "slot",
-            Msg.Slot.class,
+            Register.class,
             "voters",
-            Msg.Chosen.class,
+            ChosenItem.class,
             "record",
-            KeyRecordTable.Row.class,
+            KeyedRecordTable.Row.class,
             "bar",
-            KeyRecordStore.Bar.class,
+            KeyedRecordStore.TokenFloor.class,
             "lapse",
-            KeyRecordStore.Lapse.class,
+            KeyedRecordStore.Incomplete.class,
             "era",
-            KeyRecordStore.Era.class);
+            KeyedRecordStore.Era.class);
 
     /** Bodies of items, which are JSON text, by the name under which the file of formats has them. */
     private static final Map<String, Class<? extends Record>> BODIES = Map.of(
             "route",
-            Match.class,
+            Route.class,
             "service",
             Service.class,
             "purge",
@@ -60,17 +76,17 @@
             "origin",
             Origin.class,
             "limit",
-            Limits.class,
+            RequestLimits.class,
             "plan",
-            Plan.class,
+            PlacementPlan.class,
             "tenure",
             Leadership.class,
             "voters",
-            VoterSet.class,
+            VotingSet.class,
             "sweep",
-            Sweep.class,
+            CollectionFloor.class,
             "ledger",
-            OrderLedger.class);
+            UpdateLedger.class);
 
     private static final List<String> VARIANTS = List.of("full", "sparse");
 
@@ -89,8 +105,9 @@
         return list;
     }
 
-    private static byte[] frame(final Msg message) {
-        return Wire.pack(new Wire.Envelope(Wire.VERSION, REQUEST, ANSWERED, NodeId.of("sender"), message));
+    private static byte[] frame(final Message message) {
+        return MessageCodec.encode(
+                new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, REQUEST, ANSWERED, NodeId.of("sender"), message));
     }
 
     private static String hex(final byte[] data) {
@@ -98,7 +115,7 @@
     }
 
     /** The tag of a message in a frame: what its type is called on the wire. */
-    private static String tag(final Msg message) throws IOException {
+    private static String tag(final Message message) throws IOException {
         final com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper mapper =
                 new com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper();
         return mapper.readTree(frame(message)).get("msg").get("t").asText();
@@ -106,26 +123,26 @@
 
     static Map<String, String> writtenNow() throws IOException {
         final Map<String, String> lines = new TreeMap<>();
-        for (final Class<?> type : Msg.class.getPermittedSubclasses()) {
+        for (final Class<?> type : Message.class.getPermittedSubclasses()) {
             int variant = 0;
             for (final Object sample : samples(type)) {
-                final Msg message = (Msg) sample;
+                final Message message = (Message) sample;
                 lines.put("message/" + tag(message) + "/" + VARIANTS.get(variant++), hex(frame(message)));
             }
         }
         ROWS.forEach((name, type) -> {
             int variant = 0;
             for (final Object sample : samples(type)) {
-                lines.put("row/" + name + "/" + VARIANTS.get(variant++), hex(Wire.pack(sample)));
+                lines.put("row/" + name + "/" + VARIANTS.get(variant++), hex(MessageCodec.encode(sample)));
             }
         });
         BODIES.forEach((name, type) -> {
             int variant = 0;
             for (final Object sample : samples(type)) {
-                lines.put("body/" + name + "/" + VARIANTS.get(variant++), Json.text(sample));
+                lines.put("body/" + name + "/" + VARIANTS.get(variant++), Json.write(sample));
             }
         });
-        Stream.of(Code.values()).forEach(code -> lines.put("event/" + code.tag(), code.tag()));
+        Stream.of(EventCode.values()).forEach(code -> lines.put("event/" + code.id(), code.id()));
         return lines;
     }
 
@@ -144,20 +161,25 @@
             final String text = line.getValue();
             switch (name[0]) {
                 case "message" -> {
-                    final Wire.Envelope frame = Wire.open(HexFormat.of().parseHex(text));
+                    final MessageCodec.Frame frame =
+                            MessageCodec.decodeFrame(HexFormat.of().parseHex(text));
                     assertEquals(REQUEST, frame.id());
-                    assertEquals(ANSWERED, frame.re());
-                    assertEquals(name[1], tag(frame.msg()));
-                    assertEquals(text, hex(frame(frame.msg())), line.getKey());
+                    assertEquals(ANSWERED, frame.inReplyTo());
+                    assertEquals(name[1], tag(frame.message()));
+                    assertEquals(text, hex(frame(frame.message())), line.getKey());
                 }
                 case "row" ->
                     assertEquals(
                             text,
-                            hex(Wire.pack(Wire.unpack(HexFormat.of().parseHex(text), ROWS.get(name[1])))),
+                            hex(MessageCodec.encode(
+                                    MessageCodec.decode(HexFormat.of().parseHex(text), ROWS.get(name[1])))),
                             line.getKey());
-                case "body" -> assertEquals(text, Json.text(Json.read(text, BODIES.get(name[1]))), line.getKey());
+                case "body" -> assertEquals(text, Json.write(Json.read(text, BODIES.get(name[1]))), line.getKey());
                 default ->
-                    assertTrue(Stream.of(Code.values()).anyMatch(c -> c.tag().equals(text)), text);
+                    assertTrue(
+                            Stream.of(EventCode.values())
+                                    .anyMatch(code -> code.id().equals(text)),
+                            text);
             }
         }
     }
--- a/control/src/test/java/org/rowanvalve/control/WriteRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/UnfinishedWriteRecoveryTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.consensus;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,47 +12,52 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Ballot;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Ver;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.Register;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.control.VirtualTimeLoop;
+import org.rowanvalve.control.store.ItemStore;
 
 /** After a loss of all power: hundreds of values that were accepted, and nobody knows which of them were chosen. */
-class WriteRecoveryTest {
+class UnfinishedWriteRecoveryTest {
     private static final int ITEMS = 500;
     private static final long ROUND_TRIPS = 150;
-    private final Ticks loop = new Ticks();
-    private final ItemStore held = new ItemStore(loop, new Journal(loop, 10));
-    private final Map<ItemId, Msg.Slot> slots = new TreeMap<>();
+    private final VirtualTimeLoop loop = new VirtualTimeLoop();
+    private final ItemStore items = new ItemStore(loop, new EventJournal(loop, 10));
+    private final Map<ItemId, Register> slots = new TreeMap<>();
     private final List<ItemId> begun = new ArrayList<>();
     private final Set<ItemId> open = new HashSet<>();
     private int most;
 
     private void accepted(final ItemId id) {
         final Ballot ballot = new Ballot(1, "w");
-        slots.put(id, new Msg.Slot(ballot, ballot, new Item(id, new Ver(1), "{}", false, "t")));
+        slots.put(id, new Register(ballot, ballot, new Item(id, new Version(1), "{}", false, "t")));
     }
 
     private void read(final ItemId id, final Runnable done) {
         assertTrue(open.add(id), "twice at a time: " + id);
         begun.add(id);
         most = Math.max(most, open.size());
-        loop.after(ROUND_TRIPS, () -> {
+        loop.schedule(ROUND_TRIPS, () -> {
             open.remove(id);
-            held.merge(new Msg.Chosen(slots.get(id).at(), slots.get(id).item()));
+            items.merge(
+                    new ChosenItem(slots.get(id).acceptedBallot(), slots.get(id).item()));
             done.run();
         });
     }
 
     private void start(final int rank) {
         for (int i = 0; i < ITEMS; i++) {
-            accepted(new ItemId(Kind.PURGE, "h." + (1000 + i)));
+            accepted(new ItemId(ItemKind.PURGE, "h." + (1000 + i)));
         }
-        accepted(ItemId.TENURE);
-        new WriteRecovery(() -> true, () -> slots, held, this::read, loop, new Random(1), () -> rank).start();
+        accepted(ItemId.LEADERSHIP);
+        new UnfinishedWriteRecovery(() -> true, () -> slots, items, this::read, loop, new Random(1), () -> rank)
+                .start();
     }
 
     @Test
@@ -61,7 +66,7 @@
         loop.run(3000);
         assertEquals(ITEMS + 1, begun.size());
         assertEquals(ITEMS + 1, new HashSet<>(begun).size());
-        assertEquals(WriteRecovery.MOST, most);
+        assertEquals(UnfinishedWriteRecovery.MAX_CONCURRENT_READS, most);
         assertTrue(open.isEmpty());
     }
 
@@ -69,7 +74,7 @@
     void whatTheAuthorityNeedsComesFirst() {
         start(0);
         loop.run(10);
-        assertEquals(ItemId.TENURE, begun.get(0));
+        assertEquals(ItemId.LEADERSHIP, begun.get(0));
     }
 
     @Test
@@ -77,11 +82,11 @@
         start(0);
         loop.run(10);
         final Set<ItemId> first = new HashSet<>(begun);
-        final WriteRecoveryTest second = new WriteRecoveryTest();
+        final UnfinishedWriteRecoveryTest second = new UnfinishedWriteRecoveryTest();
         second.start(1);
         second.loop.run(300);
         first.retainAll(second.begun);
-        assertEquals(Set.of(ItemId.TENURE), first);
+        assertEquals(Set.of(ItemId.LEADERSHIP), first);
         assertFalse(second.begun.isEmpty());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/VoterChangeModel.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/VotingChangeModel.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,18 +7,20 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.TreeMap;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.voting.VotingSet;
 
 /**
  * One run of a change of voters over the real voter, writer and electorate: virtual time, disks that outlive a crash, a
  * network on which the message of a stated number, and only that one, meets a fault. Two writers add their marks to one
  * register all the while. What must hold is checked after each event and at the end.
  */
-final class VoterChangeModel {
-    private static final ItemId REGISTER = new ItemId(Kind.ROUTE, "r");
+final class VotingChangeModel {
+    private static final ItemId REGISTER = new ItemId(ItemKind.ROUTE, "r");
     private static final long HOP = 5;
     private static final long LATE = 250;
     private static final long FOUNDING = 1400;
@@ -63,7 +65,7 @@
     private boolean troubled;
 
     /** The message number {@code faulty} meets {@code fault}. */
-    VoterChangeModel(final Scene scene, final int faulty, final Fault fault) {
+    VotingChangeModel(final Scene scene, final int faulty, final Fault fault) {
         this.scene = scene;
         this.faulty = faulty;
         this.fault = fault;
@@ -104,7 +106,7 @@
     }
 
     List<NodeId> all() {
-        return machines.keySet().stream().map(VoterChangeModel::id).toList();
+        return machines.keySet().stream().map(VotingChangeModel::id).toList();
     }
 
     int messages() {
@@ -165,13 +167,15 @@
     private void change() {
         final ModelMachine near = machines.get("near");
         sets.put(1L, scene.after());
-        final String body = Json.text(new VoterSet(addresses(scene.after()), addresses(scene.before())));
+        final String body = Json.write(new VotingSet(addresses(scene.after()), addresses(scene.before())));
         near.writer()
-                .write(
+                .propose(
                         ItemId.VOTERS,
                         "change",
                         900,
-                        item -> item.ver().n() == 0 ? Optional.of(item.next(body, "change")) : Optional.empty(),
+                        item -> item.version().number() == 0
+                                ? Optional.of(item.successor(body, "change"))
+                                : Optional.empty(),
                         r -> {});
     }
 
@@ -180,24 +184,25 @@
         final String mark = "m" + ++marks;
         final ModelMachine machine = machines.get(at);
         machine.writer()
-                .write(REGISTER, mark, 400, item -> Optional.of(item.next(item.body() + mark + " ", mark)), r -> {
-                    if (r.ok()) {
-                        seen(r.item());
-                    }
-                });
+                .propose(
+                        REGISTER, mark, 400, item -> Optional.of(item.successor(item.body() + mark + " ", mark)), r -> {
+                            if (r.isAccepted()) {
+                                seen(r.item());
+                            }
+                        });
     }
 
     /** An acknowledged version has one value. */
     private void seen(final Item item) {
-        final String other = accepted.put(item.ver().n(), item.body());
+        final String other = accepted.put(item.version().number(), item.body());
         if (other != null && !other.equals(item.body())) {
-            breach("version " + item.ver().n() + " is " + other + " and " + item.body());
+            breach("version " + item.version().number() + " is " + other + " and " + item.body());
         }
     }
 
     private void last() {
         final Item[] end = new Item[1];
-        machines.get("near").writer().read(REGISTER, 2000, r -> end[0] = r.ok() ? r.item() : null);
+        machines.get("near").writer().read(REGISTER, 2000, r -> end[0] = r.isAccepted() ? r.item() : null);
         runFor(2100);
         if (end[0] == null) {
             breach("nothing can be read in the end");
--- a/control/src/test/java/org/rowanvalve/control/PatchTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/ConfigurationUpdateTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertSame;
@@ -8,48 +8,55 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Ver;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.voting.VoterFixture;
 
 /** A call is checked whole, and each name's highest version holds. */
-class PatchTest {
+class ConfigurationUpdateTest {
     private static final String STORE = "{\"kind\":\"open\",\"version\":3}";
     private static final String ROUTE =
             "{\"prefix\":\"/x/\",\"host\":\"h\",\"service\":\"s\",\"mode\":\"status\",\"version\":7}";
-    private final Voters net = new Voters();
-    private final List<Finding> faults = new ArrayList<>();
+    private final VoterFixture net = new VoterFixture();
+    private final List<ValidationError> faults = new ArrayList<>();
 
-    private Patch read(final String text) {
-        final Patch patch = Patch.read(text.getBytes(StandardCharsets.UTF_8), faults);
-        faults.addAll(OrderLedger.EMPTY.judge(patch, net.held::get).findings());
+    private ConfigurationUpdate read(final String text) {
+        final ConfigurationUpdate patch = ConfigurationUpdate.read(text.getBytes(StandardCharsets.UTF_8), faults);
+        faults.addAll(UpdateLedger.EMPTY.judge(patch, net.items::get).errors());
         return patch;
     }
 
     private List<String> told(final String text) {
         faults.clear();
         read(text);
-        return faults.stream().map(Finding::toString).toList();
+        return faults.stream().map(ValidationError::toString).toList();
     }
 
     @Test
     void aRouteMayNameAServiceOfItsOwnCallOrOneThatStands() {
-        final Patch both = read("{\"set\":{\"services\":{\"s\":" + STORE + "},\"routes\":{\"r\":" + ROUTE + "}}}");
+        final ConfigurationUpdate both =
+                read("{\"set\":{\"services\":{\"s\":" + STORE + "},\"routes\":{\"r\":" + ROUTE + "}}}");
         assertEquals(List.of(), faults);
-        assertEquals(new Ver(3), both.parts().get(new ItemId(Kind.SERVICE, "s")).ver());
-        assertEquals(new Ver(7), both.parts().get(new ItemId(Kind.ROUTE, "r")).ver());
+        assertEquals(
+                new Version(3),
+                both.updates().get(new ItemId(ItemKind.SERVICE, "s")).version());
+        assertEquals(
+                new Version(7),
+                both.updates().get(new ItemId(ItemKind.ROUTE, "r")).version());
         assertEquals(
                 List.of("/set/routes/r/service: no service is named s"),
                 told("{\"set\":{\"routes\":{\"r\":" + ROUTE + "}}}"));
-        net.put(new ItemId(Kind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
+        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
         assertEquals(List.of(), told("{\"set\":{\"routes\":{\"r\":" + ROUTE + "}}}"));
     }
 
     @Test
     void aServiceThatASplitNamesWithWeightZeroMustBeKnownToo() {
-        net.put(new ItemId(Kind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
+        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
         final String split = ROUTE.replace(
                 "\"service\":\"s\"", "\"split\":[{\"service\":\"s\",\"weight\":1},{\"service\":\"t\",\"weight\":0}]");
         assertEquals(
@@ -85,18 +92,20 @@
 
     @Test
     void equalAndLowerVersionsAlterNothingWhetherTheySetOrDrop() {
-        final ItemId id = new ItemId(Kind.ROUTE, "r");
-        final Patch.Part set = new Patch.Part(new Ver(7), "{}");
-        final Patch.Part drop = new Patch.Part(new Ver(9), null);
-        final Item one = set.over(Item.none(id), "a");
+        final ItemId id = new ItemId(ItemKind.ROUTE, "r");
+        final ConfigurationUpdate.ItemUpdate set = new ConfigurationUpdate.ItemUpdate(new Version(7), "{}");
+        final ConfigurationUpdate.ItemUpdate drop = new ConfigurationUpdate.ItemUpdate(new Version(9), null);
+        final Item one = set.appliedTo(Item.none(id), "a");
         assertEquals("{}", one.body());
-        assertTrue(one.live());
-        assertSame(one, new Patch.Part(new Ver(7), "{\"other\":1}").over(one, "b"));
-        assertSame(one, new Patch.Part(new Ver(6), null).over(one, "b"));
-        final Item gone = drop.over(one, "c");
-        assertTrue(gone.gone());
-        assertSame(gone, new Patch.Part(new Ver(8), "{}").over(gone, "d"));
-        assertSame(gone, new Patch.Part(new Ver(9), "{}").over(gone, "d"));
-        assertTrue(new Patch.Part(new Ver(10), "{}").over(gone, "d").live());
+        assertTrue(one.exists());
+        assertSame(one, new ConfigurationUpdate.ItemUpdate(new Version(7), "{\"other\":1}").appliedTo(one, "b"));
+        assertSame(one, new ConfigurationUpdate.ItemUpdate(new Version(6), null).appliedTo(one, "b"));
+        final Item gone = drop.appliedTo(one, "c");
+        assertTrue(gone.deleted());
+        assertSame(gone, new ConfigurationUpdate.ItemUpdate(new Version(8), "{}").appliedTo(gone, "d"));
+        assertSame(gone, new ConfigurationUpdate.ItemUpdate(new Version(9), "{}").appliedTo(gone, "d"));
+        assertTrue(new ConfigurationUpdate.ItemUpdate(new Version(10), "{}")
+                .appliedTo(gone, "d")
+                .exists());
     }
 }
