--- a/control/src/test/java/org/rowanvalve/control/OrderCluster.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateCluster.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -12,28 +12,51 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import org.rowanvalve.common.Disk;
-import org.rowanvalve.common.DiskTrouble;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Loop;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Net;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.common.Timing;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.AcceptRequest;
+import org.rowanvalve.common.message.AckResponse;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.DigestRequest;
+import org.rowanvalve.common.message.LearnNotification;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MissingItemsRequest;
+import org.rowanvalve.common.message.PrepareRequest;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.message.StateTransferRequest;
+import org.rowanvalve.common.message.UpdateForwardRequest;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.LeaseTimings;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.StableStorage;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.VirtualTimeLoop;
+import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.consensus.Acceptor;
+import org.rowanvalve.control.consensus.MonitoredStorage;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.consensus.UnfinishedWriteRecovery;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.view.ViewServer;
+import org.rowanvalve.control.view.ViewSynchronizer;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.StoreHealth;
+import org.rowanvalve.control.voting.VotingConfiguration;
 
 /** Five processes that take orders, three of them voters with disks, on virtual time; any may end at any message. */
-final class OrderCluster {
+final class UpdateCluster {
     static final List<NodeId> IDS =
             List.of("n0", "n1", "n2", "n3", "n4").stream().map(NodeId::of).toList();
     private static final List<NodeId> VOTERS = IDS.subList(0, 3);
     private static final long SYNC = 2;
 
-    final Ticks loop = new Ticks();
-    final Random dice;
+    final VirtualTimeLoop loop = new VirtualTimeLoop();
+    final Random random;
     /** Every item that was in force anywhere, as {@code ITEM VERSION NOTE}. */
     final Set<String> seen = new HashSet<>();
 
@@ -44,8 +67,8 @@
     private double loss;
     private int boots;
 
-    OrderCluster(final long seed) {
-        dice = new Random(seed);
+    UpdateCluster(final long seed) {
+        random = new Random(seed);
         IDS.forEach(this::start);
         loop.run(4000);
     }
@@ -68,9 +91,9 @@
     }
 
     void start(final NodeId id) {
-        final Machine m = new Machine(id, ++boots);
-        machines.put(id, m);
-        m.start();
+        final Machine machine = new Machine(id, ++boots);
+        machines.put(id, machine);
+        machine.start();
     }
 
     boolean alive(final NodeId id) {
@@ -91,7 +114,7 @@
     }
 
     Item item(final NodeId at, final ItemId id) {
-        return machines.get(at).held.get(id);
+        return machines.get(at).items.get(id);
     }
 
     /** How many disks have an item. */
@@ -101,20 +124,20 @@
                 .count();
     }
 
-    Orders orders(final NodeId at) {
+    UpdateService orders(final NodeId at) {
         return machines.get(at).orders;
     }
 
-    Registry registry(final NodeId at) {
+    OriginRegistry registry(final NodeId at) {
         return machines.get(at).registry;
     }
 
     /** Hears the status, unless the process ends first. */
     void patch(final NodeId at, final String text, final IntConsumer then) {
-        final Machine m = machines.get(at);
-        if (m.alive) {
-            m.orders.patch(text.getBytes(StandardCharsets.UTF_8), r -> {
-                if (m.alive) {
+        final Machine machine = machines.get(at);
+        if (machine.alive) {
+            machine.orders.apply(text.getBytes(StandardCharsets.UTF_8), r -> {
+                if (machine.alive) {
                     then.accept(r.status());
                 }
             });
@@ -127,103 +150,104 @@
         for (final String n : names) {
             services.put(n, Map.of("kind", "open", "note", note, "version", version));
         }
-        return Json.text(Map.of("set", Map.of("services", services)));
+        return Json.write(Map.of("set", Map.of("services", services)));
     }
 
     static ItemId service(final String name) {
-        return new ItemId(Kind.SERVICE, name);
+        return new ItemId(ItemKind.SERVICE, name);
     }
 
     static String note(final Item item) {
-        return item.live() ? Json.read(item.body(), Service.class).note() : "gone";
+        return item.exists() ? Json.read(item.body(), Service.class).note() : "gone";
     }
 
     private void inForce(final Item item) {
-        if (item.id().kind() == Kind.SERVICE) {
-            seen.add(item.id().name() + " " + item.ver().n() + " " + note(item));
+        if (item.id().kind() == ItemKind.SERVICE) {
+            seen.add(item.id().name() + " " + item.version().number() + " " + note(item));
         }
     }
 
     /** One process: its timers and messages end with it, its disk stays. */
-    private final class Machine implements Loop, Net, Disk {
+    private final class Machine implements EventLoop, Transport, StableStorage {
         private final NodeId id;
-        private final ItemStore held;
-        private final FrameSync sync;
-        private final Orders orders;
-        private final Registry registry;
-        private final Voter voter;
+        private final ItemStore items;
+        private final ViewSynchronizer view;
+        private final UpdateService orders;
+        private final OriginRegistry registry;
+        private final Acceptor acceptor;
         private final ViewServer desk;
-        private final WriteRecovery recovery;
+        private final UnfinishedWriteRecovery recovery;
         private boolean alive = true;
         private int left = Integer.MAX_VALUE;
         private int sent;
 
         Machine(final NodeId id, final int boot) {
             this.id = id;
-            final Journal journal = new Journal(this, 100);
+            final EventJournal journal = new EventJournal(this, 100);
             final String name = "b" + boot;
-            held = new ItemStore(this, journal);
-            held.watch(OrderCluster.this::inForce);
-            final Electorate electorate = Electorate.of(new Quorum(VOTERS, Set.of()));
-            voter = VOTERS.contains(id)
-                    ? new Voter(
+            items = new ItemStore(this, journal);
+            items.addListener(UpdateCluster.this::inForce);
+            final VotingConfiguration votingConfiguration = VotingConfiguration.of(new Quorum(VOTERS, Set.of()));
+            acceptor = VOTERS.contains(id)
+                    ? new Acceptor(
                             id,
-                            electorate,
+                            votingConfiguration,
                             this,
                             this,
-                            new MonitoredDisk(this, this),
+                            new MonitoredStorage(this, this),
                             journal,
                             name,
                             boot <= IDS.size(),
-                            () -> held.all().isEmpty())
+                            () -> items.all().isEmpty())
                     : null;
-            sync = new FrameSync(electorate, this, this, held, Timing.DEFAULT, journal, this::learn, e -> {});
-            final Writer writer = new Writer(
+            view = new ViewSynchronizer(
+                    votingConfiguration, this, this, items, LeaseTimings.DEFAULT, journal, this::learn, e -> {});
+            final Proposer proposer = new Proposer(
                     id,
                     name,
-                    electorate,
+                    votingConfiguration,
                     this,
                     this,
-                    new Random(dice.nextLong()),
+                    new Random(random.nextLong()),
                     journal,
-                    held,
+                    items,
                     () -> IDS,
-                    new StoreHealth(electorate.quorum(), this, journal));
+                    new StoreHealth(votingConfiguration.quorum(), this, journal));
             final int[] tags = {0};
-            orders = new Orders(
+            orders = new UpdateService(
                     this,
                     this,
-                    held,
-                    sync,
-                    writer,
+                    items,
+                    view,
+                    proposer,
                     () -> id + name + "-" + ++tags[0],
                     () -> preferred.filter(p -> !p.equals(id)));
-            registry = new Registry(this, held, sync, writer, journal, () -> id + name + "-" + ++tags[0]);
-            desk = voter == null ? null : new ViewServer(voter, held, this);
-            recovery = voter == null
+            registry = new OriginRegistry(this, items, view, proposer, journal, () -> id + name + "-" + ++tags[0]);
+            desk = acceptor == null ? null : new ViewServer(acceptor, items, this);
+            recovery = acceptor == null
                     ? null
-                    : new WriteRecovery(
-                            voter, held, writer, this, new Random(dice.nextLong()), () -> VOTERS.indexOf(id));
+                    : new UnfinishedWriteRecovery(
+                            acceptor, items, proposer, this, new Random(random.nextLong()), () -> VOTERS.indexOf(id));
         }
 
-        private void learn(final Msg.Chosen c) {
-            if (voter != null) {
-                voter.learn(c);
+        private void learn(final ChosenItem chosen) {
+            if (acceptor != null) {
+                acceptor.learn(chosen);
             }
-            held.merge(c);
+            items.merge(chosen);
         }
 
         void start() {
-            if (voter != null) {
+            if (acceptor != null) {
                 try {
-                    voter.start();
-                } catch (final DiskTrouble e) {
+                    acceptor.start();
+                } catch (final StorageException e) {
                     throw new IllegalStateException(e);
                 }
                 recovery.start();
                 orders.start(VOTERS.indexOf(id));
             }
-            sync.start();
+            view.start();
         }
 
         @Override
@@ -232,8 +256,8 @@
         }
 
         @Override
-        public void after(final long ms, final Runnable job) {
-            loop.after(ms, () -> {
+        public void schedule(final long ms, final Runnable job) {
+            loop.schedule(ms, () -> {
                 if (alive) {
                     job.run();
                 }
@@ -247,7 +271,7 @@
 
         @Override
         public void save(final Map<String, byte[]> rows, final Consumer<Boolean> done) {
-            after(SYNC, () -> {
+            schedule(SYNC, () -> {
                 final Map<String, byte[]> disk = disks.computeIfAbsent(id, k -> new HashMap<>());
                 rows.forEach((k, v) -> {
                     if (v == null) {
@@ -261,7 +285,7 @@
         }
 
         @Override
-        public void ask(final NodeId to, final Msg msg, final long wait, final Consumer<Reply> then) {
+        public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
             if (--left < 0) {
                 alive = false;
             }
@@ -270,57 +294,57 @@
             }
             sent++;
             final boolean[] answered = {false};
-            final Consumer<Reply> once = r -> {
+            final Consumer<Reply> once = reply -> {
                 if (alive && !answered[0]) {
                     answered[0] = true;
-                    then.accept(r);
+                    then.accept(reply);
                 }
             };
-            loop.after(wait, () -> once.accept(Reply.lost(Reply.Trouble.NO_ANSWER)));
+            loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
             if (open(to)) {
-                loop.after(delay(to), () -> arrive(to, msg, once));
+                loop.schedule(delay(to), () -> arrive(to, msg, once));
             }
         }
 
-        private void arrive(final NodeId to, final Msg msg, final Consumer<Reply> then) {
+        private void arrive(final NodeId to, final Message msg, final Consumer<Reply> then) {
             final Machine other = machines.get(to);
             if (other.alive) {
                 other.take(id, msg, m -> {
                     if (other.alive && open(to)) {
-                        loop.after(delay(to), () -> then.accept(Reply.of(m)));
+                        loop.schedule(delay(to), () -> then.accept(Reply.of(m)));
                     }
                 });
             }
         }
 
         private boolean open(final NodeId to) {
-            return to.equals(id) || !cut.contains(id) && !cut.contains(to) && dice.nextDouble() >= loss;
+            return to.equals(id) || !cut.contains(id) && !cut.contains(to) && random.nextDouble() >= loss;
         }
 
         private long delay(final NodeId to) {
-            return to.equals(id) ? 0 : 8 + dice.nextInt(12);
+            return to.equals(id) ? 0 : 8 + random.nextInt(12);
         }
 
-        private void take(final NodeId from, final Msg msg, final Consumer<Msg> back) {
-            if (msg instanceof Msg.Learn m) {
-                m.list().forEach(this::learn);
-                back.accept(new Msg.Ok());
-            } else if (msg instanceof Msg.Order m) {
-                orders.take(m, back);
-            } else if (voter == null) {
-                back.accept(new Msg.Nay("no voter"));
-            } else if (msg instanceof Msg.Prepare m) {
-                voter.prepare(m, back);
-            } else if (msg instanceof Msg.Accept m) {
-                voter.accept(m, back);
-            } else if (msg instanceof Msg.Reread m) {
-                voter.reread(from, m, back);
-            } else if (msg instanceof Msg.Query m) {
-                desk.query(m, back);
-            } else if (msg instanceof Msg.Vers m) {
-                desk.vers(m, back);
+        private void take(final NodeId from, final Message msg, final Consumer<Message> back) {
+            if (msg instanceof LearnNotification m) {
+                m.items().forEach(this::learn);
+                back.accept(new AckResponse());
+            } else if (msg instanceof UpdateForwardRequest m) {
+                orders.onForwarded(m, back);
+            } else if (acceptor == null) {
+                back.accept(new RejectedResponse("no voter"));
+            } else if (msg instanceof PrepareRequest m) {
+                acceptor.prepare(m, back);
+            } else if (msg instanceof AcceptRequest m) {
+                acceptor.accept(m, back);
+            } else if (msg instanceof StateTransferRequest m) {
+                acceptor.transferState(from, m, back);
+            } else if (msg instanceof DigestRequest m) {
+                desk.onDigestRequest(m, back);
+            } else if (msg instanceof MissingItemsRequest m) {
+                desk.onMissingItemsRequest(m, back);
             } else {
-                back.accept(new Msg.Nay("not done here"));
+                back.accept(new RejectedResponse("not done here"));
             }
         }
     }
@@ -343,11 +367,11 @@
         void send(final NodeId at) {
             final int mine = ++serial;
             patch(at, text, s -> {
-                if (dice.nextDouble() >= lost) {
+                if (random.nextDouble() >= lost) {
                     hear(mine, s);
                 }
             });
-            loop.after(1000, () -> again(mine));
+            loop.schedule(1000, () -> again(mine));
         }
 
         private void hear(final int mine, final int said) {
@@ -361,7 +385,7 @@
         private void again(final int mine) {
             if (status == 0 && mine == serial) {
                 serial++;
-                loop.after(50 + dice.nextInt(200), () -> send(IDS.get(dice.nextInt(IDS.size()))));
+                loop.schedule(50 + random.nextInt(200), () -> send(IDS.get(random.nextInt(IDS.size()))));
             }
         }
     }
--- a/control/src/test/java/org/rowanvalve/control/OrderContactTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateContactTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,35 +15,38 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.json.Json;
 
 /** A node that is cut off gives no old configuration, refuses nothing for good and acknowledges nothing. */
-class OrderContactTest {
+class UpdateContactTest {
     private static final long CUT = 20_000;
     private static final long STEP = 250;
     private static final int KINDS = 10;
-    private static final NodeId OTHER = OrderCluster.IDS.get(2);
-    private static final ItemId ORIGIN = new ItemId(Kind.ORIGIN, "i1");
+    private static final NodeId OTHER = UpdateCluster.IDS.get(2);
+    private static final ItemId ORIGIN = new ItemId(ItemKind.ORIGIN, "i1");
 
-    private final OrderCluster net = new OrderCluster(77);
+    private final UpdateCluster net = new UpdateCluster(77);
     private final List<String> wrong = new ArrayList<>();
     private long version = 1;
     private int answers;
     private int contacts;
 
     private void on(final NodeId at, final String call) {
-        final OrderCluster.Caller c = net.new Caller(call, 0);
+        final UpdateCluster.Caller c = net.new Caller(call, 0);
         c.send(at);
         net.loop.run(600);
         assertEquals(200, c.status, call);
     }
 
     private static String route(final String name, final String service, final long version) {
-        return Json.text(Map.of(
+        return Json.write(Map.of(
                 "set",
                 Map.of(
                         "routes",
@@ -62,7 +65,7 @@
                                         version)))));
     }
 
-    private Consumer<ApiResult> expect(final String what, final Consumer<ApiResult> check) {
+    private Consumer<ApiResponse> expect(final String what, final Consumer<ApiResponse> check) {
         final long asked = net.loop.now();
         return r -> {
             answers++;
@@ -87,68 +90,69 @@
     /** Every kind of question at once; each checks its own answer against what the other side has. */
     private void ask(final NodeId at) {
         leaveAgain(at);
-        final Orders orders = net.orders(at);
+        final UpdateService orders = net.orders(at);
         final long stood = version;
-        orders.whole(expectWhole(stood));
-        orders.patch(
+        orders.readAll(expectWhole(stood));
+        orders.apply(
                 route("r" + stood, "s" + stood, stood).getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 expect("a route to the newest service", r -> must(r.status() == 200, "valid", r.status())));
-        orders.patch(
-                OrderCluster.call(stood, "again", "moving").getBytes(java.nio.charset.StandardCharsets.UTF_8),
+        orders.apply(
+                UpdateCluster.call(stood, "again", "moving").getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 expect("another body of a number that was taken", r -> must(r.status() == 409, "taken", r.status())));
-        orders.patch(
+        orders.apply(
                 "{\"set\":".getBytes(java.nio.charset.StandardCharsets.UTF_8),
                 expect("an unreadable call", r -> must(r.status() == 422, "unreadable", r.status())));
         orders.refuse(413, "too long", expect("a long call", r -> must(r.status() == 413, "long", r.status())));
-        orders.invalid(
-                List.of(new Finding("/", "bad")),
+        orders.refuseInvalid(
+                List.of(new ValidationError("/", "bad")),
                 expect("an invalid purge", r -> must(r.status() == 422, "purge", r.status())));
         orders.purge(
                 new Purge(null, "/x" + stood, null, "h", null),
                 expect("a purge", r -> must(r.status() == 200, "purge", r.status())));
-        net.registry(at).end("i" + stood, expect("a leave", r -> {
+        net.registry(at).onEnd("i" + stood, expect("a leave", r -> {
             must(r.status() == 200, "leave", r.status());
-            net.loop.after(500, () -> must(left("i" + stood), "acknowledged and not left", 0));
+            net.loop.schedule(500, () -> must(left("i" + stood), "acknowledged and not left", 0));
         }));
     }
 
     /** An origin that has left before the cut says so again, in both ways. */
     private void leaveAgain(final NodeId at) {
-        net.registry(at).end("i0", expect("the same leave", r -> must(r.status() == 200, "leave", r.status())));
+        net.registry(at).onEnd("i0", expect("the same leave", r -> must(r.status() == 200, "leave", r.status())));
         net.registry(at)
-                .beat(
+                .onHeartbeat(
                         "i0",
-                        Origin.beating("s1", "10.0.0.1", 80, "i0", true, 5, "z", 4, 0),
+                        Origin.heartbeating("s1", "10.0.0.1", 80, "i0", true, 5, "z", 4, 0),
                         expect("the same last beat", r -> must(r.status() == 200, "beat", r.status())));
     }
 
     private boolean left(final String name) {
-        final Item item = net.item(OTHER, new ItemId(Kind.ORIGIN, name));
-        return item.live() && Json.read(item.body(), Origin.class).leaving();
+        final Item item = net.item(OTHER, new ItemId(ItemKind.ORIGIN, name));
+        return item.exists() && Json.read(item.body(), Origin.class).draining();
     }
 
-    private Consumer<Optional<Map<Kind, Map<String, Item>>>> expectWhole(final long stood) {
-        final Consumer<ApiResult> check = expect("a read", r -> {});
+    private Consumer<Optional<Map<ItemKind, Map<String, Item>>>> expectWhole(final long stood) {
+        final Consumer<ApiResponse> check = expect("a read", r -> {});
         return all -> {
-            check.accept(new ApiResult(all.isPresent() ? 200 : 503, Map.of("retryAfterMs", 1)));
-            all.ifPresent(m ->
-                    must(m.get(Kind.SERVICE).get("moving").ver().n() >= stood, "an old configuration, older than", (int)
-                            stood));
+            check.accept(new ApiResponse(all.isPresent() ? 200 : 503, Map.of("retryAfterMs", 1)));
+            all.ifPresent(m -> must(
+                    m.get(ItemKind.SERVICE).get("moving").version().number() >= stood,
+                    "an old configuration, older than",
+                    (int) stood));
         };
     }
 
     private static Origin origin(final String name) {
-        return Origin.beating("s1", "10.0.0.1", 80, name, false, 1, "z", 4, 0);
+        return Origin.heartbeating("s1", "10.0.0.1", 80, name, false, 1, "z", 4, 0);
     }
 
     /** The other side goes on: a new version, a new service that routes may name, a new origin. */
     private void change() {
         version++;
         final long now = version;
-        final OrderCluster.Caller c = net.new Caller(OrderCluster.call(now, "v" + now, "moving", "s" + now), 0);
+        final UpdateCluster.Caller c = net.new Caller(UpdateCluster.call(now, "v" + now, "moving", "s" + now), 0);
         c.send(OTHER);
         final List<Integer> said = new ArrayList<>();
-        net.registry(OTHER).beat("i" + now, origin("i" + now), r -> said.add(r.status()));
+        net.registry(OTHER).onHeartbeat("i" + now, origin("i" + now), r -> said.add(r.status()));
         net.loop.run(STEP);
         for (int i = 0; i < 20 && c.status == 0; i++) {
             net.loop.run(STEP);
@@ -158,16 +162,16 @@
     }
 
     static Stream<NodeId> nodes() {
-        return Stream.of(OrderCluster.IDS.get(0), OrderCluster.IDS.get(4));
+        return Stream.of(UpdateCluster.IDS.get(0), UpdateCluster.IDS.get(4));
     }
 
     @ParameterizedTest
     @MethodSource("nodes")
     void forAllOfTwentySecondsAndTheFirstSecondAfter(final NodeId lost) {
-        on(OTHER, OrderCluster.call(1, "v1", "moving", "s1"));
-        net.registry(OTHER).beat("i0", origin("i0"), r -> {});
+        on(OTHER, UpdateCluster.call(1, "v1", "moving", "s1"));
+        net.registry(OTHER).onHeartbeat("i0", origin("i0"), r -> {});
         net.loop.run(500);
-        net.registry(OTHER).end("i0", r -> {});
+        net.registry(OTHER).onEnd("i0", r -> {});
         net.loop.run(500);
         ask(lost);
         net.loop.run(2);
@@ -198,58 +202,58 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 5, 10, 15, 20, 25, 30, 40, 50, 60, 80, 100, 130, 160})
     void theCutComesWhileAnOrderIsUnderWay(final int after) {
-        final NodeId lost = OrderCluster.IDS.get(0);
-        on(OTHER, OrderCluster.call(1, "v1", "moving"));
+        final NodeId lost = UpdateCluster.IDS.get(0);
+        on(OTHER, UpdateCluster.call(1, "v1", "moving"));
         final List<Integer> said = new ArrayList<>();
-        net.patch(lost, OrderCluster.call(2, "mine", "moving", "mine"), said::add);
+        net.patch(lost, UpdateCluster.call(2, "mine", "moving", "mine"), said::add);
         net.loop.run(after);
         net.cut(lost);
         net.loop.run(3000);
         assertEquals(1, said.size());
-        final Item now = net.item(OTHER, OrderCluster.service("mine"));
+        final Item now = net.item(OTHER, UpdateCluster.service("mine"));
         if (said.get(0) == 200) {
-            assertEquals(2, now.ver().n());
+            assertEquals(2, now.version().number());
         } else {
             assertEquals(503, said.get(0));
         }
-        final OrderCluster.Caller other = net.new Caller(OrderCluster.call(2, "theirs", "moving"), 0);
+        final UpdateCluster.Caller other = net.new Caller(UpdateCluster.call(2, "theirs", "moving"), 0);
         other.send(OTHER);
         net.loop.run(1500);
-        assertEquals(now.ver().n() == 2 ? 409 : 200, other.status);
+        assertEquals(now.version().number() == 2 ? 409 : 200, other.status);
         net.heal();
         net.loop.run(4000);
-        final OrderCluster.Caller repeat = net.new Caller(OrderCluster.call(2, "mine", "moving", "mine"), 0);
+        final UpdateCluster.Caller repeat = net.new Caller(UpdateCluster.call(2, "mine", "moving", "mine"), 0);
         repeat.send(lost);
         net.loop.run(1500);
         assertNotEquals(other.status, repeat.status, "exactly one is confirmed");
         assertEquals(
                 repeat.status == 200 ? 2 : 0,
-                net.item(OTHER, OrderCluster.service("mine")).ver().n());
+                net.item(OTHER, UpdateCluster.service("mine")).version().number());
     }
 
     /** A leave that is repeated at another node while the first is under way is acknowledged at both. */
     @Test
     void aLeaveSaidAtTwoNodesAtOnceIsAcknowledgedAtBoth() {
         final List<Integer> said = new ArrayList<>();
-        net.registry(OTHER).beat("i1", origin("i1"), r -> said.add(r.status()));
+        net.registry(OTHER).onHeartbeat("i1", origin("i1"), r -> said.add(r.status()));
         net.loop.run(1000);
         for (int i = 0; i < 5; i++) {
-            net.registry(OrderCluster.IDS.get(i)).end("i1", r -> said.add(r.status()));
+            net.registry(UpdateCluster.IDS.get(i)).onEnd("i1", r -> said.add(r.status()));
             net.loop.run(7);
         }
         net.loop.run(1000);
         assertEquals(List.of(200, 200, 200, 200, 200, 200), said);
         assertTrue(left("i1"));
-        assertFalse(net.item(OTHER, ORIGIN).gone());
+        assertFalse(net.item(OTHER, ORIGIN).deleted());
     }
 
     /** An order is acknowledged only once each of its items is on the disks of a majority. */
     @Test
     void anAcknowledgedCallIsOnTheDisksOfAMajority() {
         final long[] disks = new long[1];
-        net.patch(OrderCluster.IDS.get(3), OrderCluster.call(4, "n", "a", "b"), s -> {
+        net.patch(UpdateCluster.IDS.get(3), UpdateCluster.call(4, "n", "a", "b"), s -> {
             assertEquals(200, s);
-            disks[0] = Math.min(net.disks(OrderCluster.service("a")), net.disks(OrderCluster.service("b")));
+            disks[0] = Math.min(net.disks(UpdateCluster.service("a")), net.disks(UpdateCluster.service("b")));
         });
         net.loop.run(700);
         assertTrue(disks[0] >= 2, disks[0] + " disks");
--- a/control/src/test/java/org/rowanvalve/control/OrdersTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateServiceTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.operator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,38 +9,43 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Ballot;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Ver;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Version;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.voting.VoterFixture;
 
 /** Orders under versions of the operator's own, before three electors. */
-class OrdersTest {
+class UpdateServiceTest {
     private static final String SET =
             "{\"set\":{\"services\":{\"s\":{\"kind\":\"open\",\"note\":\"%s\",\"version\":%d}}}}";
-    private final Voters net = new Voters();
-    private final Orders orders = new Orders(net.loop, net, net.held, net.sync, net.writer, net::tag, Optional::empty);
-    private final List<ApiResult> said = new ArrayList<>();
+    private final VoterFixture net = new VoterFixture();
+    private final UpdateService orders =
+            new UpdateService(net.loop, net, net.items, net.view, net.proposer, net::tag, Optional::empty);
+    private final List<ApiResponse> said = new ArrayList<>();
 
     private int patch(final String text, final long ms) {
         said.clear();
-        orders.patch(text.getBytes(StandardCharsets.UTF_8), said::add);
+        orders.apply(text.getBytes(StandardCharsets.UTF_8), said::add);
         net.loop.run(ms);
         return said.isEmpty() ? 0 : said.get(0).status();
     }
 
-    private int purge(final Purge p) {
+    private int purge(final Purge purge) {
         said.clear();
-        orders.purge(p, said::add);
+        orders.purge(purge, said::add);
         net.loop.run(100);
         return said.isEmpty() ? 0 : said.get(0).status();
     }
 
     private Item service() {
-        return net.held.get(new ItemId(Kind.SERVICE, "s"));
+        return net.items.get(new ItemId(ItemKind.SERVICE, "s"));
     }
 
     @Test
@@ -67,12 +72,12 @@
         final String route =
                 "{\"set\":{\"routes\":{\"r\":{\"prefix\":\"/x/\",\"service\":\"s\",\"mode\":\"status\",\"version\":7}}}}";
         assertEquals(422, patch(route, 100));
-        net.news.add(new Msg.Chosen(
+        net.news.add(new ChosenItem(
                 Ballot.ZERO,
                 new Item(
-                        new ItemId(Kind.SERVICE, "s"),
-                        new Ver(1),
-                        Json.text(new Service("open", 0, 1, 1000, 0, 0, "")),
+                        new ItemId(ItemKind.SERVICE, "s"),
+                        new Version(1),
+                        Json.write(new Service("open", 0, 1, 1000, 0, 0, "")),
                         false,
                         "")));
         assertEquals(200, patch(route, 100), "the service was stated at another node a moment ago");
@@ -89,12 +94,12 @@
         assertEquals(12L, said.get(0).body().get("version"));
         assertEquals(200, patch(SET.formatted("old", 5), 100), "a lower one alters nothing and is no fault");
         assertEquals(409, patch(SET.formatted("another old one", 5), 100));
-        assertEquals(12, service().ver().n());
+        assertEquals(12, service().version().number());
         assertTrue(service().body().contains("\"one\""));
         assertEquals(200, patch("{\"drop\":{\"services\":{\"s\":13}}}", 100));
-        assertTrue(service().gone());
+        assertTrue(service().deleted());
         assertEquals(409, patch(SET.formatted("back", 13), 100), "its number was taken to drop it");
-        assertTrue(service().gone(), "a dropped one comes back under a higher version only");
+        assertTrue(service().deleted(), "a dropped one comes back under a higher version only");
     }
 
     @Test
@@ -107,7 +112,7 @@
         net.loop.run(2500);
         assertEquals(503, said.get(0).status());
         assertEquals(1, said.size());
-        assertEquals(2, service().ver().n());
+        assertEquals(2, service().version().number());
     }
 
     /** What this node knows is not enough for a verdict, not even that a call was taken or not. */
@@ -133,25 +138,25 @@
         assertEquals(200, purge(new Purge(null, "/x", null, "h", null)));
         assertTrue((Long) said.get(0).body().get("version") > first);
         assertEquals(200, purge(new Purge(null, null, null, null, "t1")));
-        final long tag = net.view.tagged("t1").ver();
+        final long tag = net.configuration.tagPurge("t1").version();
         assertTrue(tag > first);
         assertEquals(200, purge(new Purge(null, null, null, null, "t1")));
-        assertTrue(net.view.tagged("t1").ver() > tag);
+        assertTrue(net.configuration.tagPurge("t1").version() > tag);
     }
 
     @Test
     void theWholeIsReadAsOfAfterTheQuestion() {
         net.confirm();
         patch(SET.formatted("one", 1), 100);
-        final List<Optional<Map<Kind, Map<String, Item>>>> got = new ArrayList<>();
-        orders.whole(900, got::add);
+        final List<Optional<Map<ItemKind, Map<String, Item>>>> got = new ArrayList<>();
+        orders.readAll(900, got::add);
         assertEquals(List.of(), got, "what was confirmed before the question does not count");
         net.loop.run(50);
         assertEquals(
                 List.of("s"),
-                List.copyOf(got.get(0).orElseThrow().get(Kind.SERVICE).keySet()));
+                List.copyOf(got.get(0).orElseThrow().get(ItemKind.SERVICE).keySet()));
         net.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
-        orders.whole(900, got::add);
+        orders.readAll(900, got::add);
         net.loop.run(950);
         assertEquals(Optional.empty(), got.get(1));
     }
--- a/control/src/test/java/org/rowanvalve/control/RecordGrowthTest.java
+++ b/control/src/test/java/org/rowanvalve/control/record/RecordCatchUpCostTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.record;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,17 +11,28 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Disk;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Net;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.common.Token;
-import org.rowanvalve.common.Wire;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.KeyedOutcome;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MessageCodec;
+import org.rowanvalve.common.message.RecordChecksumsRequest;
+import org.rowanvalve.common.message.RecordPageRequest;
+import org.rowanvalve.common.message.RecordReadRequest;
+import org.rowanvalve.common.message.RecordReadResponse;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.StableStorage;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.VirtualTimeLoop;
+import org.rowanvalve.control.consensus.MonitoredStorage;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.VotingConfiguration;
 
 /** What it costs a keeper that lost its memory to catch up: linear in the records that stand, flat in those that stood. */
-class RecordGrowthTest {
+class RecordCatchUpCostTest {
     private static final List<NodeId> ALL = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"));
     private static final int BODY = 700;
     private static final long ROUND_TRIP = 70;
@@ -35,29 +46,29 @@
 
     /** {@code past}: records that stood before and stand no more. */
     private static Cost catchUp(final int records, final int past) throws Exception {
-        final Ticks loop = new Ticks();
-        final Map<NodeId, KeyRecordStore> keepers = new HashMap<>();
+        final VirtualTimeLoop loop = new VirtualTimeLoop();
+        final Map<NodeId, KeyedRecordStore> keepers = new HashMap<>();
         final long[] sum = new long[2];
-        final Net net = (to, msg, wait, then) -> {
-            sum[0] += Wire.pack(new Wire.Envelope(1, 1, 0, to, msg)).length;
+        final Transport transport = (to, msg, wait, then) -> {
+            sum[0] += MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, msg)).length;
             sum[1]++;
-            final Consumer<Msg> back = m -> {
-                final long size = Wire.pack(new Wire.Envelope(1, 1, 0, to, m)).length;
+            final Consumer<Message> back = m -> {
+                final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, m)).length;
                 sum[0] += size;
                 sum[1]++;
                 final long ms = ROUND_TRIP + size / BYTES_PER_MS;
-                loop.after(
+                loop.schedule(
                         Math.min(ms, wait),
-                        () -> then.accept(ms < wait ? Reply.of(m) : Reply.lost(Reply.Trouble.NO_ANSWER)));
+                        () -> then.accept(ms < wait ? Reply.of(m) : Reply.failed(Reply.Failure.NO_RESPONSE)));
             };
-            if (msg instanceof Msg.KeepSums m) {
-                keepers.get(to).sums(m, back);
-            } else if (msg instanceof Msg.KeepCells m) {
-                keepers.get(to).cells(m, back);
+            if (msg instanceof RecordChecksumsRequest m) {
+                keepers.get(to).onChecksumsRequest(m, back);
+            } else if (msg instanceof RecordPageRequest m) {
+                keepers.get(to).onPageRequest(m, back);
             }
         };
         for (final NodeId id : ALL) {
-            keepers.put(id, keeper(id, loop, net));
+            keepers.put(id, keeper(id, loop, transport));
             keepers.get(id).start();
         }
         for (final NodeId id : ALL.subList(1, 3)) {
@@ -68,10 +79,10 @@
             assertEquals(0, keepers.get(id).size(), "what stood is gone");
             fill(keepers.get(id), "now-", records);
         }
-        final KeyRecordStore lost = keepers.get(ALL.get(0));
-        lost.forgotten();
+        final KeyedRecordStore lost = keepers.get(ALL.get(0));
+        lost.markIncomplete();
         final long from = loop.now();
-        while (lost.lapse()) {
+        while (lost.isIncomplete()) {
             loop.run(5);
         }
         assertEquals(records, lost.size());
@@ -79,8 +90,8 @@
         return new Cost(records, past, loop.now() - from, sum[0], sum[1]);
     }
 
-    private static KeyRecordStore keeper(final NodeId id, final Ticks loop, final Net net) {
-        final Disk disk = new Disk() {
+    private static KeyedRecordStore keeper(final NodeId id, final VirtualTimeLoop loop, final Transport transport) {
+        final StableStorage storage = new StableStorage() {
             private final Map<String, byte[]> rows = new TreeMap<>();
 
             @Override
@@ -94,26 +105,26 @@
                 done.accept(true);
             }
         };
-        return new KeyRecordStore(
+        return new KeyedRecordStore(
                 id,
                 "b",
-                Electorate.of(new Quorum(ALL, Set.of())),
-                net,
+                VotingConfiguration.of(new Quorum(ALL, Set.of())),
+                transport,
                 loop,
                 loop::now,
-                new MonitoredDisk(disk, loop),
-                new Journal(loop, 100),
+                new MonitoredStorage(storage, loop),
+                new EventJournal(loop, 100),
                 new RecordRetention(60_000, () -> 0));
     }
 
-    private static void fill(final KeyRecordStore k, final String name, final int records) {
-        k.read(new Msg.KeepRead(0, 3, new Token(1, 1), "w", true, null, 0), m -> {
-            final long era = ((Msg.Kept) m).era();
+    private static void fill(final KeyedRecordStore k, final String name, final int records) {
+        k.onRead(new RecordReadRequest(0, 3, new FencingToken(1, 1), "w", true, null, 0), m -> {
+            final long era = ((RecordReadResponse) m).era();
             for (int i = 0; i < records; i++) {
-                final Msg.Outcome outcome = new Msg.Outcome(201, Map.of(), new byte[BODY], true);
-                final Msg.Note note = new Msg.Note(
-                        "checkout|booking|" + name + i, 3, new Token(1, 1), "d".repeat(64), i, false, outcome);
-                k.write(new Msg.KeepWrite(0, note, era), x -> {});
+                final KeyedOutcome outcome = new KeyedOutcome(201, Map.of(), new byte[BODY], true);
+                final KeyedRecord note = new KeyedRecord(
+                        "checkout|booking|" + name + i, 3, new FencingToken(1, 1), "d".repeat(64), i, false, outcome);
+                k.onWrite(new RecordWriteRequest(0, note, era), x -> {});
             }
         });
     }
--- a/control/src/test/java/org/rowanvalve/control/KeyRecordCopyTest.java
+++ b/control/src/test/java/org/rowanvalve/control/record/RecordCopyTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.control;
+package org.rowanvalve.control.record;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,22 +9,26 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Code;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Net;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.common.Token;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.message.AgedRecord;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.RecordPageResponse;
+import org.rowanvalve.common.message.RecordReadResponse;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.runtime.Transport;
 
 /** The copying of a lost memory from the other keepers. */
-class KeyRecordCopyTest extends KeyRecordFixture {
+class RecordCopyTest extends KeyedRecordFixture {
     @Test
     void aLostMemoryIsCopiedOnceFromOneKeeperAndComparedWithTheOther() throws Exception {
         fill(keeper(B, new Rows(), false), 0, 1000, 700);
         fill(keeper(C, new Rows(), false), 0, 1000, 700);
-        final KeyRecordStore k = keeper(A, new Rows(), true);
-        assertTrue(k.lapse());
+        final KeyedRecordStore k = keeper(A, new Rows(), true);
+        assertTrue(k.isIncomplete());
         loop.run(10_000);
-        assertFalse(k.lapse());
+        assertFalse(k.isIncomplete());
         assertEquals(1000, k.size());
         final long fat = bytes.values().stream().mapToLong(b -> b).max().orElseThrow();
         final long thin = bytes.values().stream().mapToLong(b -> b).min().orElseThrow();
@@ -38,9 +42,9 @@
     void whatEitherKeeperHoldsIsTaken() throws Exception {
         fill(keeper(B, new Rows(), false), 0, 300, 10);
         fill(keeper(C, new Rows(), false), 200, 500, 10);
-        final KeyRecordStore k = keeper(A, new Rows(), true);
+        final KeyedRecordStore k = keeper(A, new Rows(), true);
         loop.run(10_000);
-        assertFalse(k.lapse());
+        assertFalse(k.isIncomplete());
         assertEquals(500, k.size());
     }
 
@@ -52,9 +56,9 @@
         final long before = read(keepers.get(B), first(TOKEN, "w")).era();
         final int[] n = {0};
         delay = (id, m) -> n[0]++ % 3 == 0 ? -1L : 35L;
-        final KeyRecordStore k = keeper(A, new Rows(), true);
+        final KeyedRecordStore k = keeper(A, new Rows(), true);
         loop.run(60_000);
-        assertFalse(k.lapse());
+        assertFalse(k.isIncomplete());
         assertEquals(1000, k.size());
         final long all = bytes.values().stream().mapToLong(b -> b).sum();
         assertTrue(all < 1_900_000, "with a third lost: " + all);
@@ -70,9 +74,9 @@
         fill(keeper(B, new Rows(), false), 0, 1000, 700);
         fill(keeper(C, new Rows(), false), 0, 1000, 700);
         delay = (id, m) -> id.equals(B) ? 3000L : 5L;
-        final KeyRecordStore k = keeper(A, new Rows(), true);
+        final KeyedRecordStore k = keeper(A, new Rows(), true);
         loop.run(16_000);
-        assertFalse(k.lapse(), "in 16 s, though every answer of one keeper takes 3 s");
+        assertFalse(k.isIncomplete(), "in 16 s, though every answer of one keeper takes 3 s");
         assertEquals(1000, k.size());
         assertTrue(bytes.get(B) < 60_000, "from the slow one " + bytes.get(B));
     }
@@ -84,16 +88,16 @@
         fill(keeper(C, new Rows(), false), 0, 1000, 700);
         delay = (id, m) -> 100L;
         final Rows disk = new Rows();
-        final KeyRecordStore first = keeper(A, disk, true);
+        final KeyedRecordStore first = keeper(A, disk, true);
         loop.run(700);
         final int had = first.size();
         assertTrue(had > 300 && had < 1000, "had " + had);
-        assertTrue(first.lapse());
-        final KeyRecordStore second = keeper(A, disk, false);
-        assertTrue(second.lapse(), "the disk says that the memory is not whole");
+        assertTrue(first.isIncomplete());
+        final KeyedRecordStore second = keeper(A, disk, false);
+        assertTrue(second.isIncomplete(), "the disk says that the memory is not whole");
         assertEquals(had, second.size());
         loop.run(10_000);
-        assertFalse(second.lapse());
+        assertFalse(second.isIncomplete());
         assertEquals(1000, second.size());
     }
 
@@ -104,17 +108,17 @@
         fill(keeper(C, new Rows(), false), 0, 100, 10);
         final Rows disk = new Rows();
         disk.slow = loop;
-        final KeyRecordStore k = keeper(A, disk, true);
+        final KeyedRecordStore k = keeper(A, disk, true);
         final long[] era = {0};
-        k.read(first(TOKEN, "w"), m -> era[0] = ((Msg.Kept) m).era());
+        k.onRead(first(TOKEN, "w"), m -> era[0] = ((RecordReadResponse) m).era());
         for (int i = 0; i < 60; i++) {
-            final Msg.Note note = note("more-" + i, 10);
-            loop.after(i * 5L, () -> k.write(new Msg.KeepWrite(0, note, era[0]), m -> {}));
+            final KeyedRecord note = note("more-" + i, 10);
+            loop.schedule(i * 5L, () -> k.onWrite(new RecordWriteRequest(0, note, era[0]), m -> {}));
         }
         loop.run(2000);
-        assertFalse(k.lapse());
-        final KeyRecordStore again = keeper(A, disk, false);
-        assertFalse(again.lapse(), "it ended and that was synced");
+        assertFalse(k.isIncomplete());
+        final KeyedRecordStore again = keeper(A, disk, false);
+        assertFalse(again.isIncomplete(), "it ended and that was synced");
         assertEquals(k.size(), again.size());
     }
 
@@ -122,13 +126,13 @@
     @Test
     void twoWithoutMemoryWaitAndEndWhenOneMoreComes() throws Exception {
         fill(keeper(B, new Rows(), false), 0, 100, 10);
-        final KeyRecordStore a = keeper(A, new Rows(), true);
-        final KeyRecordStore c = keeper(C, new Rows(), true);
+        final KeyedRecordStore a = keeper(A, new Rows(), true);
+        final KeyedRecordStore c = keeper(C, new Rows(), true);
         loop.run(20_000);
-        assertTrue(a.lapse() && c.lapse());
+        assertTrue(a.isIncomplete() && c.isIncomplete());
         assertTrue(asked.size() < 120, "asked " + asked.size());
-        loop.run(retention.ms());
-        assertFalse(a.lapse() || c.lapse());
+        loop.run(retention.retentionMs());
+        assertFalse(a.isIncomplete() || c.isIncomplete());
     }
 
     @Test
@@ -136,14 +140,15 @@
         fill(keeper(B, new Rows(), false), 0, 10, 10);
         fill(keeper(C, new Rows(), false), 0, 10, 10);
         final int[] bad = {2};
-        final KeyRecordTable table = new KeyRecordTable();
+        final KeyedRecordTable table = new KeyedRecordTable();
         final List<String> ends = new ArrayList<>();
-        final Net forging = (to, msg, wait, then) -> net.ask(to, msg, wait, r -> {
-            final Msg.KeptCells page = r.as(Msg.KeptCells.class).orElse(null);
+        final Transport forging = (to, msg, wait, then) -> transport.request(to, msg, wait, reply -> {
+            final RecordPageResponse page = reply.as(RecordPageResponse.class).orElse(null);
             then.accept(
                     page != null && bad[0]-- > 0
-                            ? Reply.of(new Msg.KeptCells(true, page.notes(), page.sum() ^ 1, page.next()))
-                            : r);
+                            ? Reply.of(
+                                    new RecordPageResponse(true, page.records(), page.checksum() ^ 1, page.nextKey()))
+                            : reply);
         });
         final RecordCopy copy = new RecordCopy(
                 loop,
@@ -156,15 +161,15 @@
                 (copied, bare) -> copied.size() == 2,
                 new RecordCopy.Sink() {
                     @Override
-                    public void bars(final Map<Integer, Token> bars) {}
+                    public void tokenFloors(final Map<Integer, FencingToken> bars) {}
 
                     @Override
-                    public void notes(final List<Msg.AgedNote> notes) {
-                        notes.forEach(n -> table.put(new KeyRecordTable.Row(n.note(), 0, n.stay())));
+                    public void records(final List<AgedRecord> notes) {
+                        notes.forEach(n -> table.put(new KeyedRecordTable.Row(n.keyedRecord(), 0, n.retentionMs())));
                     }
 
                     @Override
-                    public void done() {
+                    public void onComplete() {
                         ends.add("done");
                     }
                 });
@@ -174,8 +179,8 @@
         assertEquals(10, table.size());
         assertEquals(
                 2,
-                journal.tail().stream()
-                        .filter(e -> e.event().code() == Code.RECORDS_BAD)
+                journal.recent().stream()
+                        .filter(entry -> entry.event().code() == EventCode.RECORDS_BAD)
                         .count());
     }
 }
--- /dev/null
+++ b/control/src/test/java/org/rowanvalve/control/view/ViewSynchronizerTest.java
@@ -0,0 +1,74 @@
+package org.rowanvalve.control.view;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.VoterFixture;
+
+class ViewSynchronizerTest {
+    private final VoterFixture net = new VoterFixture();
+    private final List<Boolean> heard = new ArrayList<>();
+
+    @Test
+    void onlyAConfirmationOfAQuestionSentSinceCounts() {
+        net.confirm();
+        assertTrue(net.view.isFresh());
+        net.view.awaitConfirmation(net.loop.now(), 500, heard::add);
+        assertEquals(List.of(), heard);
+        net.loop.run(20);
+        assertEquals(List.of(true), heard);
+    }
+
+    @Test
+    void withoutAMajorityItIsNoAtTheCutoff() {
+        net.confirm();
+        net.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("c")));
+        net.loop.run(5);
+        net.view.awaitConfirmation(net.loop.now(), 500, heard::add);
+        net.loop.run(490);
+        assertEquals(List.of(), heard);
+        net.loop.run(30);
+        assertEquals(List.of(false), heard);
+        net.loop.run(1500);
+        assertFalse(net.view.isFresh());
+    }
+
+    @Test
+    void aFramesAgeIsBoundedByWhatTheTimingSays() {
+        final ViewSynchronizer quick = new ViewSynchronizer(
+                net.votingConfiguration,
+                net.loop,
+                net,
+                net.items,
+                new org.rowanvalve.common.model.LeaseTimings(3000, 1000, 300),
+                net.journal,
+                net.items::merge,
+                e -> {});
+        quick.poll();
+        net.loop.run(10);
+        assertTrue(quick.isFresh());
+        net.loop.run(300);
+        assertFalse(quick.isFresh());
+    }
+
+    @Test
+    void withoutStoresAMajorityIsEnoughToWrite() {
+        final List<NodeId> four = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"), NodeId.of("d"));
+        final Quorum even = new Quorum(four, Set.of());
+        assertEquals(3, even.majority());
+        assertFalse(even.isWriteQuorum(Set.copyOf(four.subList(0, 2))));
+        assertTrue(even.isWriteQuorum(Set.copyOf(four.subList(1, 4))));
+        assertTrue(even.isReadQuorum(Set.copyOf(four.subList(1, 4))));
+        assertEquals(2, net.votingConfiguration.quorum().majority());
+        assertTrue(net.votingConfiguration.quorum().isWriteQuorum(Set.of(NodeId.of("b"), NodeId.of("c"))));
+        final Quorum stores = new Quorum(VoterFixture.ALL, Set.of(NodeId.of("a")));
+        assertFalse(stores.isWriteQuorum(Set.of(NodeId.of("b"), NodeId.of("c"))));
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/cache/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Copies of origins' responses in memory.
+ */
+package org.rowanvalve.data.cache;
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -0,0 +1,220 @@
+package org.rowanvalve.data.edge;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import java.util.function.Predicate;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.config.ConfigurationView;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.RequestLimits;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.data.cache.Cache;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+
+/** A request's way at an edge: the steps compiled for its route, run one by one until one answers. */
+public final class Edge {
+    private static final int MAX_REQUESTS = 2048;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final ConfigurationView configuration;
+    private final BooleanSupplier viewFresh;
+    private final int shards;
+    private final EventJournal journal;
+    private final EdgeRouting routing;
+    private final Cache cache;
+    private final Map<Integer, FencingToken> highestToken = new HashMap<>();
+    private final Map<String, CoalescedFill> fills = new HashMap<>();
+    private final Map<Long, ShieldForwarding.Forward> forwards = new HashMap<>();
+    private long lastSerial;
+    private int openRequests;
+    private boolean closed;
+    private long lastRequestAt = Long.MIN_VALUE / 2;
+
+    public Edge(
+            final EventLoop loop,
+            final Transport transport,
+            final ConfigurationView configuration,
+            final BooleanSupplier viewFresh,
+            final int shards,
+            final EventJournal journal,
+            final long cacheBytes,
+            final Predicate<NodeId> heard) {
+        this(loop, transport, configuration, viewFresh, shards, journal, cacheBytes, EdgeRouting.withoutShields(heard));
+    }
+
+    public Edge(
+            final EventLoop loop,
+            final Transport transport,
+            final ConfigurationView configuration,
+            final BooleanSupplier viewFresh,
+            final int shards,
+            final EventJournal journal,
+            final long cacheBytes,
+            final EdgeRouting routing) {
+        this.routing = routing;
+        this.loop = loop;
+        this.transport = transport;
+        this.configuration = configuration;
+        this.viewFresh = viewFresh;
+        this.shards = shards;
+        this.journal = journal;
+        this.cache = new Cache(cacheBytes, c -> configuration.areTagsCurrent(c.tagVersions()));
+    }
+
+    enum Step {
+        VIEW,
+        METHOD,
+        SIZE,
+        CONDITION,
+        KEY,
+        LOOK_UP,
+        COALESCE,
+        FORWARD
+    }
+
+    static List<Step> stepsOf(final ConfiguredRoute route) {
+        final List<Step> list = new ArrayList<>(List.of(Step.METHOD, Step.SIZE));
+        if (route.condition().isPresent()) {
+            list.add(Step.CONDITION);
+        }
+        if (route.route().purgeable()) {
+            list.add(Step.VIEW);
+        }
+        switch (route.route().mode()) {
+            case Route.CACHED -> list.addAll(List.of(Step.LOOK_UP, Step.COALESCE));
+            case Route.KEYED -> list.add(Step.KEY);
+            default -> {}
+        }
+        list.add(Step.FORWARD);
+        return list;
+    }
+
+    /** What callers may send now. */
+    public RequestLimits limits() {
+        return configuration.limits();
+    }
+
+    public void close() {
+        closed = true;
+    }
+
+    public int openRequests() {
+        return openRequests;
+    }
+
+    /** Whether there is anything to serve and a shield to ask. */
+    public boolean isAble() {
+        return !closed
+                && !configuration.routesByPrecedence().isEmpty()
+                && !routing.nearestShields().isEmpty();
+    }
+
+    /** Whether no request has come for a while, in ms. */
+    public boolean isQuiet(final long ms) {
+        return loop.now() - lastRequestAt >= ms;
+    }
+
+    public void handle(final ClientRequest request, final Consumer<ClientResponse> callback) {
+        lastRequestAt = loop.now();
+        if (closed) {
+            callback.accept(ClientResponse.reject(503, "this node is leaving", 1000));
+            return;
+        }
+        if (openRequests >= MAX_REQUESTS) {
+            callback.accept(ClientResponse.reject(503, "too many requests wait here", 1000));
+            return;
+        }
+        final ConfiguredRoute route =
+                configuration.route(request.host(), request.path()).orElse(null);
+        if (route == null) {
+            callback.accept(
+                    viewFresh.getAsBoolean()
+                            ? ClientResponse.reject(404, "no route takes this path", 0)
+                            : ClientResponse.reject(503, "the frame is not confirmed", 1000));
+            return;
+        }
+        if (!route.isUsable()) {
+            callback.accept(ClientResponse.reject(503, "the route does not fit its service", 1000));
+            return;
+        }
+        openRequests++;
+        new EdgeRequest(this, request, route, response -> {
+                    openRequests--;
+                    callback.accept(response);
+                })
+                .execute();
+    }
+
+    EventLoop loop() {
+        return loop;
+    }
+
+    Transport net() {
+        return transport;
+    }
+
+    ConfigurationView view() {
+        return configuration;
+    }
+
+    EdgeRouting routing() {
+        return routing;
+    }
+
+    Cache cache() {
+        return cache;
+    }
+
+    EventJournal journal() {
+        return journal;
+    }
+
+    /** The serial by which the shield may ask for further attempts until it has answered. */
+    long openForward(final ShieldForwarding.Forward forward) {
+        final long serial = nextSerial();
+        forwards.put(serial, forward);
+        return serial;
+    }
+
+    void closeForward(final long forward) {
+        forwards.remove(forward);
+    }
+
+    /** How many more origins a shield may send the request of this serial to. */
+    public int grantAttempts(final NodeId from, final long forward) {
+        return forwards.containsKey(forward) ? forwards.get(forward).grantMore(from) : 0;
+    }
+
+    Map<String, CoalescedFill> fills() {
+        return fills;
+    }
+
+    boolean isViewFresh() {
+        return viewFresh.getAsBoolean();
+    }
+
+    int shards() {
+        return shards;
+    }
+
+    long nextSerial() {
+        return ++lastSerial;
+    }
+
+    FencingToken highestToken(final int shard) {
+        return highestToken.getOrDefault(shard, FencingToken.ZERO);
+    }
+
+    void recordToken(final int shard, final FencingToken token) {
+        highestToken.merge(shard, token, (response, b) -> response.isBelow(b) ? b : response);
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -0,0 +1,288 @@
+package org.rowanvalve.data.edge;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.model.VersionVector;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.data.cache.CachedResponse;
+import org.rowanvalve.data.request.ByteRange;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.data.routing.ShardRouting;
+
+/** One request at an edge: the steps of its route, one by one until one answers, and what it shares with others. */
+final class EdgeRequest {
+    private final Edge edge;
+    private final ClientRequest request;
+    private final ConfiguredRoute route;
+    private final Consumer<ClientResponse> callback;
+    private final String cacheKey;
+    private final long deadline;
+    private final long marginMs;
+    private final long startedAt;
+    private final ShieldForwarding forwarding;
+    private VersionVector versions;
+    private CoalescedFill ledFill;
+    private boolean finished;
+
+    EdgeRequest(
+            final Edge edge,
+            final ClientRequest request,
+            final ConfiguredRoute route,
+            final Consumer<ClientResponse> callback) {
+        this.edge = edge;
+        this.request = route.route().hasMode(Route.CACHED) && request.method().equals("GET")
+                ? request.withoutConditions()
+                : request;
+        this.route = route;
+        this.callback = callback;
+        this.cacheKey = ShardRouting.cacheKey(route, request.path(), null);
+        this.versions = edge.view().versionsOf(route, request.path());
+        final boolean deadlineStated = request.timeoutMs() > 0;
+        this.marginMs = deadlineStated ? 20 : 300;
+        this.startedAt = now();
+        this.deadline = now()
+                + (deadlineStated
+                        ? Math.max(1, Math.min(request.timeoutMs(), route.timeoutMs()))
+                        : route.timeoutMs() + 500);
+        this.forwarding = new ShieldForwarding(edge, this);
+    }
+
+    private long now() {
+        return edge.loop().now();
+    }
+
+    ClientRequest request() {
+        return request;
+    }
+
+    ConfiguredRoute route() {
+        return route;
+    }
+
+    VersionVector versions() {
+        return versions;
+    }
+
+    boolean finished() {
+        return finished;
+    }
+
+    long startedAt() {
+        return startedAt;
+    }
+
+    long deadline() {
+        return deadline;
+    }
+
+    /** What is kept of the time for the way back to the caller. */
+    long marginMs() {
+        return marginMs;
+    }
+
+    boolean hasMode(final String mode) {
+        return route.route().mode().equals(mode);
+    }
+
+    /** Whether it may be sent to origins at most once. */
+    boolean isAtMostOnce() {
+        return hasMode(Route.KEYED) || hasMode(Route.AT_MOST_ONCE);
+    }
+
+    void execute() {
+        for (final Edge.Step step : Edge.stepsOf(route)) {
+            if (runStep(step)) {
+                return;
+            }
+        }
+    }
+
+    private boolean reject(final int status, final String reason, final long retryAfterMs) {
+        finish(ClientResponse.reject(status, reason, retryAfterMs));
+        return true;
+    }
+
+    private void finish(final ClientResponse response) {
+        if (!finished) {
+            finished = true;
+            callback.accept(response);
+        }
+    }
+
+    private boolean runStep(final Edge.Step step) {
+        final boolean post = hasMode(Route.KEYED);
+        return switch (step) {
+            case METHOD ->
+                !route.route().anyShield()
+                        && !request.method().equals(post ? "POST" : "GET")
+                        && reject(405, "this route takes " + (post ? "POST" : "GET"), 0);
+            case SIZE ->
+                request.body() != null
+                        && request.body().length > route.service().bodyLimit()
+                        && reject(413, "body over the limit", 0);
+            case CONDITION -> checkCondition();
+            case KEY ->
+                (request.key() == null
+                                || request.key().isEmpty()
+                                || request.key().length() > 128)
+                        && reject(400, "header Rv-Key must be 1 to 128 characters", 0);
+            case VIEW -> !edge.isViewFresh() && onStaleView();
+            case LOOK_UP -> request.method().equals("GET") && answerFromCache();
+            case COALESCE -> request.method().equals("GET") && joinFill();
+            case FORWARD -> {
+                forwarding.start();
+                yield true;
+            }
+        };
+    }
+
+    /** What needs no right to fill goes on where nothing newer can be known; copies that may have been purged do not. */
+    private boolean onStaleView() {
+        if (route.route().anyShield() && !hasMode(Route.KEYED) && edge.routing().isWithoutQuorum()) {
+            forwarding.passThrough(ClientResponse.reject(503, "the frame is not confirmed", 500));
+            return true;
+        }
+        return route.route().anyShield() && hasMode(Route.KEYED)
+                ? false
+                : reject(503, "the frame is not confirmed", 1000);
+    }
+
+    private boolean checkCondition() {
+        return switch (route.condition()
+                .orElseThrow()
+                .evaluate(
+                        request.method(),
+                        request.path(),
+                        request.key(),
+                        request.body() == null ? 0 : request.body().length)) {
+            case HOLDS -> false;
+            case DOES_NOT_HOLD -> reject(403, "the route's condition does not hold", 0);
+            case UNDECIDED -> reject(400, "the route's condition cannot judge this request", 0);
+        };
+    }
+
+    private boolean answerFromCache() {
+        final Optional<CachedResponse> copy =
+                edge.cache().findFresh(cacheKey, now(), versions).filter(x -> x.isFrom(route.route()));
+        copy.ifPresent(x -> respondFrom(x, "hit"));
+        return copy.isPresent();
+    }
+
+    private void respondFrom(final CachedResponse copy, final String cacheResult) {
+        final Map<String, String> headers = new TreeMap<>(copy.headers());
+        headers.put("Age", String.valueOf((now() - copy.filledAt()) / 1000));
+        headers.put("Rv-Cache", cacheResult);
+        finish(ByteRange.apply(
+                new ClientResponse(copy.status(), ClientResponse.DONE, headers, copy.body()), request.range()));
+    }
+
+    /** A flight serves whoever asks under its mark or an older one; a newer mark starts the next flight. */
+    private boolean joinFill() {
+        final CoalescedFill current = edge.fills().get(cacheKey);
+        if (current != null && current.versions().covers(versions)) {
+            if (current.isFull(1)) {
+                return reject(503, "too many wait for this object", 1000);
+            }
+            current.waiters().add(this);
+            return true;
+        }
+        ledFill = new CoalescedFill(versions, new ArrayList<>(List.of(this)));
+        edge.fills().put(cacheKey, ledFill);
+        return false;
+    }
+
+    private List<EdgeRequest> takeWaiters() {
+        edge.fills().remove(cacheKey, ledFill);
+        return ledFill == null ? List.of(this) : ledFill.waiters();
+    }
+
+    /** Overtaken by a newer flight: all who waited for this one wait for that. */
+    boolean handOver() {
+        final CoalescedFill current = edge.fills().get(cacheKey);
+        if (ledFill == null
+                || current == null
+                || current == ledFill
+                || !current.versions().covers(edge.view().versionsOf(route, request.path()))
+                || current.isFull(ledFill.waiters().size())) {
+            return false;
+        }
+        current.waiters().addAll(ledFill.waiters());
+        return true;
+    }
+
+    /** Asked again under the mark of now; the flight's mark goes with it. */
+    void renewVersions() {
+        versions = edge.view().versionsOf(route, request.path());
+        if (ledFill != null
+                && !ledFill.versions().equals(versions)
+                && edge.fills().get(cacheKey) == ledFill) {
+            ledFill = new CoalescedFill(versions, ledFill.waiters());
+            edge.fills().put(cacheKey, ledFill);
+        }
+    }
+
+    /** An origin's answer for all who wait; false where it was purged on its way and gives nothing to anybody. */
+    boolean onFilled(final long sentAt, final ForwardResponse filled) {
+        if (!hasMode(Route.CACHED) || filled.versions() == null) {
+            final ClientResponse response =
+                    new ClientResponse(filled.status(), ClientResponse.DONE, filled.headers(), filled.body());
+            if (hasMode(Route.CACHED)) {
+                takeWaiters().forEach(waiter -> waiter.finish(ByteRange.apply(response, waiter.request.range())));
+            } else {
+                finishAll(response, false);
+            }
+            return true;
+        }
+        final CachedResponse copy = new CachedResponse(
+                filled.status(),
+                filled.headers(),
+                filled.body(),
+                sentAt - filled.ageMs(),
+                route.route().ttlMs(),
+                CachedResponse.withoutTags(filled.versions()),
+                CachedResponse.tagVersions(filled.versions()),
+                filled.service());
+        final ConfiguredRoute current = edge.view().routeNamed(route.name()).orElse(null);
+        final VersionVector wanted = current == null ? null : edge.view().versionsOf(current, request.path());
+        if (wanted == null || !filled.versions().covers(wanted) || !edge.view().areTagsCurrent(copy.tagVersions())) {
+            return false;
+        }
+        if (filled.status() == 200 && copy.isFresh(now(), wanted)) {
+            edge.cache().put(cacheKey, copy);
+        }
+        takeWaiters().forEach(waiter -> waiter.respondFrom(copy, "miss"));
+        return true;
+    }
+
+    /** When no fill can be had, a copy just past its lifetime is better than none, as long as the frame is sure. */
+    private CachedResponse staleCopy() {
+        return hasMode(Route.CACHED) && (edge.isViewFresh() || !route.route().purgeable())
+                ? edge.cache()
+                        .findUsable(cacheKey, now(), edge.view().versionsOf(route, request.path()))
+                        .orElse(null)
+                : null;
+    }
+
+    /** {@code mayHaveRun}: an earlier way may have sent it, so that no refusal can promise that it has not run. */
+    void finishAll(final ClientResponse response, final boolean mayHaveRun) {
+        final ClientResponse a = mayHaveRun && isAtMostOnce() && response.fate().equals(ClientResponse.REFUSED)
+                ? ClientResponse.unsure("an earlier way may have sent it")
+                : response;
+        final List<EdgeRequest> waiters = takeWaiters();
+        final CachedResponse stale = a.fate().equals(ClientResponse.DONE) ? null : staleCopy();
+        waiters.forEach(waiter -> {
+            if (stale == null) {
+                waiter.finish(a);
+            } else {
+                waiter.respondFrom(stale, "late");
+            }
+        });
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
@@ -1,64 +1,65 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.edge;
 
 import java.util.List;
 import java.util.function.Predicate;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.data.origin.OriginDispatcher;
 
 /** Where an edge can send what it does not answer itself. */
 public interface EdgeRouting {
     /** Shields that are heard of, the nearest first. */
-    List<NodeId> near();
+    List<NodeId> nearestShields();
 
-    boolean heard(NodeId id);
+    boolean isHeard(NodeId id);
 
     /** For how long nothing has been heard of it, in ms. */
-    long silent(NodeId id);
+    long silenceMs(NodeId id);
 
     /** How many places objects are filled for, and which of them this edge is in. */
-    int places();
+    int regionCount();
 
-    int place();
+    int region();
 
     /** The way to origins for when no shield is heard of; null where there is none. */
-    Sender direct();
+    OriginDispatcher directDispatcher();
 
     /** No majority of electors can be heard from here: nothing newer can be known, so what needs no right goes on. */
-    boolean alone();
+    boolean isWithoutQuorum();
 
-    static EdgeRouting of(final Predicate<NodeId> heard) {
+    static EdgeRouting withoutShields(final Predicate<NodeId> heard) {
         return new EdgeRouting() {
             @Override
-            public List<NodeId> near() {
+            public List<NodeId> nearestShields() {
                 return List.of();
             }
 
             @Override
-            public boolean heard(final NodeId id) {
+            public boolean isHeard(final NodeId id) {
                 return heard.test(id);
             }
 
             @Override
-            public int places() {
+            public int regionCount() {
                 return 1;
             }
 
             @Override
-            public int place() {
+            public int region() {
                 return 0;
             }
 
             @Override
-            public Sender direct() {
+            public OriginDispatcher directDispatcher() {
                 return null;
             }
 
             @Override
-            public long silent(final NodeId id) {
+            public long silenceMs(final NodeId id) {
                 return 0;
             }
 
             @Override
-            public boolean alone() {
+            public boolean isWithoutQuorum() {
                 return false;
             }
         };
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
@@ -0,0 +1,90 @@
+package org.rowanvalve.data.edge;
+
+import java.util.Comparator;
+import java.util.List;
+import org.rowanvalve.common.model.Member;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.membership.Membership;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.settings.NodeSettings;
+
+/** Where an edge's requests may go, by what its node has heard of the others. */
+public final class MembershipRouting implements EdgeRouting {
+    private static final long MAX_SILENCE_MS = 1500;
+    private final NodeSettings settings;
+    private final Membership membership;
+    private final VotingConfiguration votingConfiguration;
+    private final OriginDispatcher direct;
+
+    public MembershipRouting(
+            final NodeSettings settings,
+            final Membership membership,
+            final VotingConfiguration votingConfiguration,
+            final OriginDispatcher direct) {
+        this.settings = settings;
+        this.membership = membership;
+        this.votingConfiguration = votingConfiguration;
+        this.direct = direct;
+    }
+
+    @Override
+    public int regionCount() {
+        return settings.regions().size();
+    }
+
+    @Override
+    public int region() {
+        return settings.region();
+    }
+
+    @Override
+    public OriginDispatcher directDispatcher() {
+        return direct;
+    }
+
+    /** Shields that are heard of: of the same zone first, then of the same region. */
+    @Override
+    public List<NodeId> nearestShields() {
+        final String location = settings.self().location();
+        final String region = location.substring(0, location.lastIndexOf('/') + 1);
+        final int spread = settings.self().id().hashCode();
+        return membership.liveMembers(Role.SHIELD).stream()
+                .filter(member ->
+                        member.status() != NodeStatus.DRAINING && membership.silenceMs(member.id()) <= MAX_SILENCE_MS)
+                .sorted(Comparator.comparingInt(
+                                (Member member) -> member.location().equals(location)
+                                        ? 0
+                                        : member.location().startsWith(region) ? 1 : 2)
+                        .thenComparingInt(member -> (member.id().hashCode() ^ spread) & 0xffff))
+                .map(Member::id)
+                .toList();
+    }
+
+    @Override
+    public boolean isHeard(final NodeId id) {
+        return membership.silenceMs(id) <= MAX_SILENCE_MS;
+    }
+
+    @Override
+    public long silenceMs(final NodeId id) {
+        return membership.silenceMs(id);
+    }
+
+    @Override
+    public boolean isWithoutQuorum() {
+        return alone(settings, membership, votingConfiguration);
+    }
+
+    /** Too few voters are heard from to learn anything new. */
+    public static boolean alone(
+            final NodeSettings settings, final Membership membership, final VotingConfiguration votingConfiguration) {
+        return votingConfiguration.voters().stream()
+                        .filter(voter ->
+                                voter.equals(settings.self().id()) || membership.silenceMs(voter) <= MAX_SILENCE_MS)
+                        .count()
+                < votingConfiguration.quorum().majority();
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/RequestAttempts.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/RequestAttempts.java
@@ -1,4 +1,6 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.edge;
+
+import org.rowanvalve.data.limit.AttemptAllowance;
 
 /**
  * The origins that one request of a client may still be sent to, over all nodes. The edge that took the request keeps the
@@ -26,17 +28,17 @@
         left = Math.min(allowed, left + Math.max(0, unused));
     }
 
-    boolean any() {
+    boolean anyLeft() {
         return left > 0;
     }
 
     /** Whether an origin may have got the request. */
-    boolean used() {
+    boolean anyUsed() {
         return left < allowed;
     }
 
     /** For sends of this node's own: each attempt comes out of the same count. */
-    AttemptAllowance here() {
+    AttemptAllowance localAllowance() {
         return AttemptAllowance.of(0, answer -> answer.accept(reserve()));
     }
 }
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
@@ -0,0 +1,459 @@
+package org.rowanvalve.data.edge;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.message.ForwardRequest;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.data.origin.OriginDispatch;
+import org.rowanvalve.data.origin.OriginRequest;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.data.request.EndToEndHeaders;
+import org.rowanvalve.data.routing.ShardRouting;
+
+/**
+ * A request's way from an edge to shields: to the holder of its shard where a right is needed, else through any shield.
+ * The request's attempts are counted here, for all nodes together.
+ */
+final class ShieldForwarding {
+    /** A shield of which nothing was heard for so long is passed by, in ms. */
+    private static final long MAX_SILENCE_MS = 650;
+
+    private static final long WATCH_INTERVAL_MS = 100;
+    /** The part of its time for which a keyed request is kept while nobody may send it. */
+    private static final double KEYED_PATIENCE = 0.4;
+    /** A read waits for a holder that may not fill for this part of its aim at most, or for this long without an aim. */
+    private static final double HOLDER_PATIENCE_PART = 0.25;
+
+    private static final long DEFAULT_HOLDER_PATIENCE_MS = 400;
+    private static final int MAX_HOLDER_REQUESTS = 3;
+    private final Edge edge;
+    private final EdgeRequest request;
+    private final ClientRequest clientRequest;
+    private final ConfiguredRoute route;
+    private final long deadline;
+    private final long marginMs;
+    private final RequestAttempts attempts;
+    private final Set<NodeId> askedShields = new HashSet<>();
+    /** How often a shield was asked that may have taken it up. */
+    private int requestsSent;
+    /** Shields that have been asked to pass it through and have not answered. */
+    private int openPassThroughs;
+    /** It goes on without the right to fill. */
+    private boolean passingThrough;
+    /** A shield may have sent it to an origin and has not told its end. */
+    private boolean mayHaveRun;
+
+    ShieldForwarding(final Edge edge, final EdgeRequest request) {
+        this.edge = edge;
+        this.request = request;
+        this.clientRequest = request.request();
+        this.route = request.route();
+        this.deadline = request.deadline();
+        this.marginMs = request.marginMs();
+        this.attempts = new RequestAttempts(route.route().maxAttempts());
+    }
+
+    /** One shield that was asked, and the attempts that are reserved for it. */
+    final class Forward {
+        private final NodeId shield;
+        private int reserved;
+
+        Forward(final NodeId shield) {
+            this.shield = shield;
+            this.reserved = attempts.reserve();
+        }
+
+        /** The shield wants to try one more origin. */
+        int grantMore(final NodeId from) {
+            if (request.finished() || !from.equals(shield)) {
+                return 0;
+            }
+            final int added = attempts.reserve();
+            reserved += added;
+            return added;
+        }
+
+        /** Takes back what surely was not used. */
+        private void settle(final Reply reply) {
+            if (reply.failure() == Reply.Failure.NOT_SENT) {
+                attempts.giveBack(reserved);
+            } else {
+                reply.as(ForwardResponse.class)
+                        .ifPresent(filled -> attempts.giveBack(Math.min(reserved, filled.unusedAttempts())));
+            }
+        }
+    }
+
+    private long now() {
+        return edge.loop().now();
+    }
+
+    private boolean hasMode(final String mode) {
+        return request.hasMode(mode);
+    }
+
+    private boolean mayUseAnyShield() {
+        return route.route().anyShield();
+    }
+
+    private void finish(final ClientResponse response) {
+        request.finishAll(response, mayHaveRun);
+    }
+
+    void start() {
+        if (mayUseAnyShield()
+                && !hasMode(Route.KEYED)
+                && !(hasMode(Route.CACHED) && clientRequest.method().equals("GET"))) {
+            passThrough(ClientResponse.reject(503, "no shield is heard of", 300));
+        } else {
+            askHolder(ClientResponse.reject(503, "no attempt is left", 1000));
+        }
+    }
+
+    /** {@code lastResponse}: what to answer where nobody may be asked any more. */
+    private void askHolder(final ClientResponse lastResponse) {
+        if (!attempts.anyLeft() && !hasMode(Route.KEYED)) {
+            finish(lastResponse);
+            return;
+        }
+        final int shard = ShardRouting.shardOf(
+                route,
+                clientRequest.path(),
+                clientRequest.key(),
+                edge.shards(),
+                edge.routing().regionCount(),
+                edge.routing().region());
+        if (shard >= edge.view().plan().assignments().size()) {
+            onNoHolder(ClientResponse.reject(503, "no plan is known yet", 500));
+            return;
+        }
+        final PlacementPlan.Assignment assignment =
+                edge.view().plan().assignments().get(shard);
+        edge.recordToken(shard, assignment.token());
+        if (!edge.routing().isHeard(assignment.ownerId())
+                || mayUseAnyShield() && edge.routing().silenceMs(assignment.ownerId()) > MAX_SILENCE_MS) {
+            onNoHolder(ClientResponse.reject(503, "the holder is not heard of", 1000));
+            return;
+        }
+        requestsSent++;
+        request.renewVersions();
+        final long sentAt = now();
+        forward(
+                assignment.ownerId(),
+                shard,
+                false,
+                Math.max(100, deadline - sentAt),
+                reply -> onHolderResponse(shard, sentAt, reply));
+        if (mayUseAnyShield() && hasMode(Route.CACHED)) {
+            final int requestNumber = requestsSent;
+            watchShield(assignment.ownerId(), sentAt, () -> passingThrough || requestsSent != requestNumber);
+        }
+    }
+
+    private void forward(
+            final NodeId shield,
+            final int shard,
+            final boolean passThrough,
+            final long timeoutMs,
+            final Consumer<Reply> callback) {
+        final boolean isRetry = attempts.anyUsed();
+        final Forward exchange = new Forward(shield);
+        final long serial = edge.openForward(exchange);
+        edge.net()
+                .request(
+                        shield,
+                        forwardRequest(serial, shard, passThrough, isRetry, exchange.reserved),
+                        timeoutMs,
+                        reply -> {
+                            edge.closeForward(serial);
+                            exchange.settle(reply);
+                            callback.accept(reply);
+                        });
+    }
+
+    private ForwardRequest forwardRequest(
+            final long serial, final int shard, final boolean passThrough, final boolean isRetry, final int given) {
+        return new ForwardRequest(
+                serial,
+                route.name(),
+                clientRequest.method(),
+                clientRequest.host(),
+                clientRequest.path(),
+                shard,
+                shard < 0 ? null : edge.highestToken(shard),
+                passThrough ? null : request.versions(),
+                clientRequest.key(),
+                clientRequest.body(),
+                clientRequest.contentType(),
+                Math.max(marginMs > 100 ? 100 : 1, deadline - now() - marginMs),
+                clientRequest.requestId(),
+                passThrough,
+                isRetry,
+                clientRequest.headers(),
+                given);
+    }
+
+    /** Where a shield falls silent, another passes a read through while there is time; the first answer counts. */
+    private void watchShield(final NodeId shield, final long sentAt, final BooleanSupplier answered) {
+        edge.loop().schedule(WATCH_INTERVAL_MS, () -> {
+            if (request.finished()
+                    || answered.getAsBoolean()
+                    || hasMode(Route.AT_MOST_ONCE)
+                    || now() + WATCH_INTERVAL_MS >= deadline) {
+                return;
+            }
+            if (edge.routing().silenceMs(shield) > MAX_SILENCE_MS
+                    && now() - sentAt > 2 * WATCH_INTERVAL_MS
+                    && attempts.anyLeft()) {
+                passThrough(ClientResponse.reject(503, "the shield is silent", 100));
+            } else {
+                watchShield(shield, sentAt, answered);
+            }
+        });
+    }
+
+    /** By any shield: for what needs no right to fill, or when nobody has the right. */
+    void passThrough(final ClientResponse fallback) {
+        passingThrough = true;
+        final NodeId shield = edge.routing().nearestShields().stream()
+                .filter(n -> !askedShields.contains(n) && edge.routing().silenceMs(n) <= MAX_SILENCE_MS)
+                .findFirst()
+                .orElse(null);
+        final boolean tooLate = now() + marginMs >= deadline;
+        if (shield == null
+                && !attempts.anyUsed()
+                && openPassThroughs == 0
+                && edge.routing().directDispatcher() != null
+                && !tooLate) {
+            sendDirectly(fallback);
+            return;
+        }
+        if (shield == null || tooLate || !attempts.anyLeft()) {
+            if (openPassThroughs == 0 || shield == null && !hasMode(Route.AT_MOST_ONCE)) {
+                finish(fallback);
+            }
+            return;
+        }
+        askedShields.add(shield);
+        requestsSent++;
+        openPassThroughs++;
+        final long sentAt = now();
+        final boolean[] answered = {false};
+        forward(shield, OriginRequest.NO_SHARD, true, Math.max(50, deadline - sentAt), reply -> {
+            openPassThroughs--;
+            answered[0] = true;
+            onPassThroughResponse(reply);
+        });
+        watchShield(shield, sentAt, () -> answered[0]);
+    }
+
+    /** No shield is heard of at all: it goes to an origin from here, within the part of the ceiling that is for this. */
+    private void sendDirectly(final ClientResponse fallback) {
+        final String shield = route.route()
+                .pickService(Hash.hash64(
+                        clientRequest.requestId().isEmpty()
+                                ? clientRequest.path() + edge.nextSerial()
+                                : clientRequest.requestId()));
+        final OriginRequest originRequest = new OriginRequest(
+                OriginRequest.NO_SHARD,
+                new OriginTransport.OutboundRequest(
+                        shield,
+                        clientRequest.method(),
+                        clientRequest.path(),
+                        clientRequest.requestId(),
+                        clientRequest.key(),
+                        clientRequest.body(),
+                        clientRequest.contentType(),
+                        0,
+                        clientRequest.headers()),
+                hasMode(Route.AT_MOST_ONCE),
+                deadline - marginMs,
+                route.route().priority(),
+                attempts.localAllowance(),
+                false);
+        edge.routing().directDispatcher().send(originRequest, sentAt -> {
+            if (sentAt.response().result() == OriginTransport.ExchangeResult.COMPLETE) {
+                deliver(now(), completed(sentAt.response()));
+            } else {
+                mayHaveRun |= sentAt.mayHaveRun();
+                finish(
+                        sentAt.mayHaveRun()
+                                ? ClientResponse.unsure(sentAt.response().reason())
+                                : fallback);
+            }
+        });
+    }
+
+    private static ForwardResponse completed(final OriginTransport.OriginResponse response) {
+        return new ForwardResponse(
+                ClientResponse.DONE,
+                "",
+                response.status(),
+                null,
+                EndToEndHeaders.of(response.headers()),
+                response.body(),
+                0,
+                null,
+                0);
+    }
+
+    /** The answer of a shield that was asked to pass it through. */
+    private void onPassThroughResponse(final Reply reply) {
+        if (request.finished()) {
+            return;
+        }
+        final ForwardResponse filled = reply.as(ForwardResponse.class).orElse(null);
+        recordUncertainty(reply, filled);
+        if (filled == null) {
+            if (reply.failure() == Reply.Failure.NOT_SENT) {
+                passThrough(ClientResponse.reject(503, "no shield can be reached", 300));
+            } else if (!hasMode(Route.AT_MOST_ONCE)) {
+                passThrough(ClientResponse.unsure("no shield answered"));
+            } else {
+                finish(ClientResponse.unsure("the shield did not answer"));
+            }
+        } else if (filled.fate().equals(ClientResponse.DONE)) {
+            deliver(now(), filled);
+        } else if (filled.fate().equals(ClientResponse.REFUSED)
+                && filled.status() == 503
+                && filled.retryAfterMs() == 500
+                && askedShields.size() < 3) {
+            passThrough(ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs()));
+        } else if (openPassThroughs == 0) {
+            finish(
+                    filled.fate().equals(ClientResponse.REFUSED)
+                            ? ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs())
+                            : ClientResponse.unsure(filled.reason()));
+        }
+    }
+
+    private void recordUncertainty(final Reply reply, final ForwardResponse filled) {
+        mayHaveRun |= filled == null && reply.failure() != Reply.Failure.NOT_SENT
+                || filled != null && filled.fate().equals(ClientResponse.UNKNOWN);
+    }
+
+    /** No holder to ask: a read is passed through where its route allows it. */
+    private void onNoHolder(final ClientResponse fallback) {
+        if (!passingThrough && mayUseAnyShield() && hasMode(Route.CACHED)) {
+            passThrough(fallback);
+        } else if (mayUseAnyShield() && hasMode(Route.KEYED)) {
+            retry(fallback);
+        } else {
+            finish(fallback);
+        }
+    }
+
+    private void onHolderResponse(final int shard, final long sentAt, final Reply reply) {
+        if (request.finished()) {
+            return;
+        }
+        final ForwardResponse filled = reply.as(ForwardResponse.class).orElse(null);
+        recordUncertainty(reply, filled);
+        if (filled == null) {
+            onHolderSilent(reply.failure());
+        } else if (filled.fate().equals(ClientResponse.REFUSED)) {
+            onRefused(filled);
+        } else if (filled.token().isBelow(edge.highestToken(shard))) {
+            onStaleToken(shard, filled);
+        } else {
+            edge.recordToken(shard, filled.token());
+            if (filled.fate().equals(ClientResponse.UNKNOWN)) {
+                finish(ClientResponse.unsure(filled.reason()));
+            } else {
+                deliver(sentAt, filled);
+            }
+        }
+    }
+
+    private void onHolderSilent(final Reply.Failure failure) {
+        final ClientResponse uncertain = ClientResponse.unsure("the holder did not answer");
+        if (failure == Reply.Failure.NOT_SENT) {
+            retry(ClientResponse.reject(503, "the holder cannot be reached", 1000));
+        } else if (mayUseAnyShield() && hasMode(Route.CACHED)) {
+            onNoHolder(uncertain);
+        } else if (mayUseAnyShield()) {
+            retry(uncertain);
+        } else {
+            finish(uncertain);
+        }
+    }
+
+    private void onRefused(final ForwardResponse filled) {
+        final ClientResponse response = ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs());
+        if (!attempts.anyLeft() && openPassThroughs == 0) {
+            finish(response);
+        } else if (filled.status() == 503 && filled.retryAfterMs() <= 500) {
+            retry(response);
+        } else if (filled.status() == 503 && !OriginDispatch.noNodeCanSend(filled.reason())) {
+            onNoHolder(response);
+        } else {
+            finish(response);
+        }
+    }
+
+    private void onStaleToken(final int shard, final ForwardResponse filled) {
+        edge.journal()
+                .add(Event.of(
+                        EventCode.TOKEN_LOW,
+                        "shard",
+                        shard,
+                        "token",
+                        filled.token().toString(),
+                        "known",
+                        edge.highestToken(shard).toString()));
+        if (hasMode(Route.KEYED)) {
+            finish(ClientResponse.unsure("the answer came from an earlier holder"));
+        } else {
+            retry(ClientResponse.reject(503, "the answer came from an earlier holder", 500));
+        }
+    }
+
+    private void deliver(final long sentAt, final ForwardResponse filled) {
+        if (!request.onFilled(sentAt, filled)) {
+            retry(ClientResponse.reject(503, "purged while it was filled", 500));
+        }
+    }
+
+    /** A refusal that a fresher plan may cure is tried again soon, at most twice; keyed ones while there is time. */
+    private void retry(final ClientResponse lastResponse) {
+        if (request.finished() || request.handOver()) {
+            return;
+        }
+        final boolean mayRetryKeyed =
+                mayUseAnyShield() && hasMode(Route.KEYED) && now() - request.startedAt() < partOfTime(KEYED_PATIENCE);
+        final long delayMs = 60L * Math.max(1, Math.min(4, requestsSent));
+        final boolean isRead = mayUseAnyShield() && hasMode(Route.CACHED) && !passingThrough;
+        if (isRead && now() + delayMs - request.startedAt() > holderPatience()) {
+            passThrough(lastResponse);
+        } else if (requestsSent >= MAX_HOLDER_REQUESTS && !mayRetryKeyed || now() + delayMs + 200 >= deadline) {
+            if (isRead) {
+                passThrough(lastResponse);
+            } else {
+                finish(lastResponse);
+            }
+        } else {
+            edge.loop().schedule(delayMs, () -> askHolder(lastResponse));
+        }
+    }
+
+    private double partOfTime(final double assignment) {
+        return (deadline - request.startedAt()) * assignment;
+    }
+
+    private double holderPatience() {
+        final long aim = route.route().latencyTargetMs();
+        return aim > 0 ? aim * HOLDER_PATIENCE_PART : DEFAULT_HOLDER_PATIENCE_MS;
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/edge/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Edges: they take clients' requests, answer from their cache, and forward the rest to shields.
+ */
+package org.rowanvalve.data.edge;
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -0,0 +1,319 @@
+package org.rowanvalve.data.keyed;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.KeyedOutcome;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.lease.LeaseHolder;
+import org.rowanvalve.control.record.RecordRetention;
+import org.rowanvalve.control.voting.StoreHealth;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.data.request.EndToEndHeaders;
+
+/** Keyed requests: the intent stands at a majority of keepers before a byte leaves for the origin. */
+public final class KeyedRequests {
+    private static final int ATTEMPT_BITS = 24;
+    private static final long SWEEP_INTERVAL_MS = 10_000;
+    private static final long INTENT_TIMEOUT_MS = 1000;
+    private static final long OUTCOME_TIMEOUT_MS = 700;
+    private final VotingConfiguration votingConfiguration;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final LeaseHolder leases;
+    private final EventJournal journal;
+    private final StoreHealth storeHealth;
+    private final String reader;
+    private final RecordRetention retention;
+    private final long attemptBase;
+    private final Map<Integer, KeyedShard> shards = new HashMap<>();
+    private long attemptSerial;
+
+    /** The sending itself, once the intent stands. */
+    @FunctionalInterface
+    public interface Send {
+        void send(Consumer<OriginDispatcher.Completion> then);
+    }
+
+    public KeyedRequests(
+            final VotingConfiguration votingConfiguration,
+            final EventLoop loop,
+            final Transport transport,
+            final LeaseHolder leases,
+            final EventJournal journal,
+            final StoreHealth storeHealth,
+            final String reader,
+            final RecordRetention retention) {
+        this.reader = reader;
+        this.attemptBase = Hash.hash64(reader) << ATTEMPT_BITS;
+        this.votingConfiguration = votingConfiguration;
+        this.loop = loop;
+        this.transport = transport;
+        this.leases = leases;
+        this.journal = journal;
+        this.storeHealth = storeHealth;
+        this.retention = retention;
+        loop.scheduleRepeatedly(SWEEP_INTERVAL_MS, this::removeExpired);
+        votingConfiguration.addListener(() -> List.copyOf(shards.values()).forEach(KeyedShard::onVotingSetChange));
+    }
+
+    private void removeExpired() {
+        shards.values().forEach(shard -> shard.removeExpired(retention.retentionMs()));
+    }
+
+    public static ForwardResponse response(
+            final String fate,
+            final int status,
+            final String reason,
+            final FencingToken token,
+            final long retryAfterMs) {
+        return new ForwardResponse(fate, reason, status, token, Map.of(), new byte[0], 0, null, retryAfterMs);
+    }
+
+    /** {@code patienceMs}: how long the request waits for the keepers to be read; it is refused when that is over. */
+    public void handle(
+            final int shardNumber,
+            final String key,
+            final String digest,
+            final long patienceMs,
+            final Send sendAction,
+            final Consumer<ForwardResponse> callback) {
+        final KeyedShard shard = shard(shardNumber);
+        shard.whenReady(
+                patienceMs,
+                () -> run(shard, key, digest, sendAction, callback),
+                () -> callback.accept(response(
+                        ClientResponse.REFUSED, 503, "too few keepers could be read yet", shard.token(), 1000)));
+    }
+
+    private KeyedShard shard(final int shardNumber) {
+        final FencingToken token = leases.token(shardNumber);
+        final KeyedShard known = shards.get(shardNumber);
+        if (known != null && !known.token().isBelow(token)) {
+            return known;
+        }
+        final KeyedShard shard = new KeyedShard(
+                shardNumber,
+                token,
+                loop,
+                turn -> turn >> ATTEMPT_BITS == attemptBase >> ATTEMPT_BITS,
+                listener -> new RecordReader(
+                        votingConfiguration,
+                        loop,
+                        transport,
+                        storeHealth,
+                        shardNumber,
+                        token,
+                        reader,
+                        () -> leases.token(shardNumber).equals(token),
+                        listener),
+                () -> journal.add(Event.of(
+                        EventCode.KEEP_SHORT,
+                        "shard",
+                        shardNumber,
+                        "read",
+                        shards.get(shardNumber).reader().completeKeepers().size())));
+        shards.put(shardNumber, shard);
+        if (known != null) {
+            known.close();
+        }
+        return shard;
+    }
+
+    private void run(
+            final KeyedShard shard,
+            final String key,
+            final String digest,
+            final Send sendAction,
+            final Consumer<ForwardResponse> callback) {
+        final KeyedEntry found = shard.entries().get(key);
+        final KeyedEntry known =
+                found != null && found.notSent && !found.digest().equals(digest) ? null : found;
+        if (known != null && !known.digest().equals(digest)) {
+            callback.accept(
+                    response(ClientResponse.REFUSED, 422, "the key was used with another body", shard.token(), 0));
+        } else if (known != null && known.hasBodyElsewhere()) {
+            known.addWaiter(callback);
+            fetchOutcome(shard, key, known);
+        } else if (known != null && known.outcome != null) {
+            callback.accept(completed(shard, known.outcome));
+        } else if (known != null && known.inProgress) {
+            known.addWaiter(callback);
+        } else if (known != null && !known.notSent) {
+            callback.accept(response(
+                    ClientResponse.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
+        } else {
+            final KeyedEntry entry = known == null ? new KeyedEntry(digest, loop.now()) : known;
+            entry.inProgress = true;
+            entry.addWaiter(callback);
+            shard.entries().put(key, entry);
+            recordIntent(shard, key, entry, sendAction);
+        }
+    }
+
+    /** The key ran elsewhere: its outcome's body is fetched once for all who ask meanwhile. */
+    private void fetchOutcome(final KeyedShard shard, final String key, final KeyedEntry entry) {
+        if (entry.fetching) {
+            return;
+        }
+        entry.fetching = true;
+        final List<NodeId> keepers = new ArrayList<>(votingConfiguration.voters());
+        Collections.rotate(keepers, (int) (attemptSerial % keepers.size()));
+        new OutcomeFetch(loop, transport, keepers, key, outcome -> {
+                    entry.fetching = false;
+                    if (outcome != null) {
+                        entry.outcome = outcome;
+                        entry.respond(completed(shard, outcome));
+                    } else {
+                        entry.respond(response(
+                                ClientResponse.UNKNOWN,
+                                504,
+                                "the key ran, but its outcome could not be fetched",
+                                shard.token(),
+                                500));
+                    }
+                })
+                .start();
+    }
+
+    private static ForwardResponse completed(final KeyedShard shard, final KeyedOutcome outcome) {
+        return new ForwardResponse(
+                ClientResponse.DONE,
+                "",
+                outcome.status(),
+                shard.token(),
+                outcome.headers(),
+                outcome.body(),
+                0,
+                null,
+                0);
+    }
+
+    private KeyedRecord recordOf(
+            final KeyedShard shard, final String key, final KeyedEntry entry, final boolean notSent) {
+        return new KeyedRecord(
+                key,
+                shard.number(),
+                shard.token(),
+                entry.digest(),
+                entry.attemptId,
+                notSent,
+                notSent ? null : entry.outcome);
+    }
+
+    private void recordIntent(final KeyedShard shard, final String key, final KeyedEntry entry, final Send sendAction) {
+        entry.attemptId = attemptBase + ++attemptSerial;
+        entry.foreignRecord = null;
+        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MS, ok -> {
+            if (entry.foreignRecord != null) {
+                yieldToForeign(shard, entry);
+            } else if (!ok) {
+                journal.add(Event.of(EventCode.KEEP_SHORT, "shard", shard.number(), "key", key));
+                release(
+                        shard,
+                        key,
+                        entry,
+                        response(ClientResponse.REFUSED, 503, "the intent could not be recorded", shard.token(), 1000));
+            } else if (!leases.token(shard.number()).equals(shard.token())) {
+                release(
+                        shard,
+                        key,
+                        entry,
+                        response(ClientResponse.REFUSED, 503, "the right to send moved", shard.token(), 300));
+            } else {
+                sendAction.send(completion -> onCompletion(shard, key, entry, completion));
+            }
+        });
+    }
+
+    /** Another process with the same token had a try of this key before: that one's fate counts, and is not told clear. */
+    private void yieldToForeign(final KeyedShard shard, final KeyedEntry entry) {
+        entry.inProgress = false;
+        entry.notSent = false;
+        entry.outcome = entry.foreignRecord.outcome();
+        entry.foreignRecord = null;
+        entry.respond(response(
+                ClientResponse.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
+    }
+
+    /** Nothing left this node: it may run the key later, and so may the next holder once a keeper tells it so. */
+    private void release(
+            final KeyedShard shard, final String key, final KeyedEntry entry, final ForwardResponse response) {
+        entry.inProgress = false;
+        entry.notSent = true;
+        final KeyedRecord keyedRecord = recordOf(shard, key, entry, true);
+        final long epoch = votingConfiguration.epoch();
+        votingConfiguration
+                .voters()
+                .forEach(keeper -> transport.request(
+                        keeper,
+                        new RecordWriteRequest(
+                                epoch, keyedRecord, shard.reader().eraOf(keeper).orElse(0)),
+                        OUTCOME_TIMEOUT_MS,
+                        reply -> {}));
+        entry.respond(response);
+    }
+
+    private void onCompletion(
+            final KeyedShard shard,
+            final String key,
+            final KeyedEntry entry,
+            final OriginDispatcher.Completion completion) {
+        final OriginTransport.OriginResponse originResponse = completion.response();
+        if (originResponse.result() == OriginTransport.ExchangeResult.COMPLETE) {
+            entry.notSent = false;
+            entry.outcome = new KeyedOutcome(
+                    originResponse.status(), EndToEndHeaders.of(originResponse.headers()), originResponse.body(), true);
+            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MS, ok -> {
+                entry.inProgress = false;
+                entry.respond(completed(shard, entry.outcome));
+            });
+        } else if (completion.mayHaveRun()) {
+            entry.inProgress = false;
+            entry.notSent = false;
+            entry.respond(response(
+                    ClientResponse.UNKNOWN, 504, "outcome unknown: the origin's answer was lost", shard.token(), 0));
+        } else {
+            final long retryAfterMs = Math.max(1000, completion.retryAfterMs());
+            release(
+                    shard,
+                    key,
+                    entry,
+                    response(ClientResponse.REFUSED, 503, originResponse.reason(), shard.token(), retryAfterMs));
+        }
+    }
+
+    private void writeRecord(
+            final KeyedShard shard,
+            final KeyedRecord keyedRecord,
+            final long timeoutMs,
+            final Consumer<Boolean> callback) {
+        new RecordWrite(
+                        votingConfiguration,
+                        loop,
+                        transport,
+                        storeHealth,
+                        shard,
+                        keyedRecord,
+                        timeoutMs,
+                        true,
+                        callback)
+                .start();
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
@@ -0,0 +1,174 @@
+package org.rowanvalve.data.keyed;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.OptionalLong;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.RecordWriteResponse;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.StoreHealth;
+import org.rowanvalve.control.voting.VotingConfiguration;
+
+/**
+ * One note on its way to the keepers: done at a majority and at every store that is heard from. Only keepers count that
+ * are still in the era in which they were read; one that is not is read again, and where too few are left the note is
+ * written once more when enough of them are.
+ */
+final class RecordWrite {
+    private static final long VOTING_CHANGE_PATIENCE_MS = 1500;
+    private static final long CHECK_INTERVAL_MS = 100;
+    private final VotingConfiguration votingConfiguration;
+    private final Quorum quorum;
+    private final EventLoop loop;
+    private final Transport transport;
+    private final StoreHealth storeHealth;
+    private final KeyedShard shard;
+    private final KeyedRecord keyedRecord;
+    private final long timeoutMs;
+    private final boolean mayRepeat;
+    private final Consumer<Boolean> callback;
+    private final long startedAt;
+    private final Set<NodeId> accepted = new HashSet<>();
+    private final Set<NodeId> syncedBy = new HashSet<>();
+    private final Set<NodeId> staleKeepers = new HashSet<>();
+    private int unanswered;
+    private boolean superseded;
+    private boolean finished;
+
+    /** {@code mayRepeat}: whether it is written once more after keepers have been read anew. */
+    RecordWrite(
+            final VotingConfiguration votingConfiguration,
+            final EventLoop loop,
+            final Transport transport,
+            final StoreHealth storeHealth,
+            final KeyedShard shard,
+            final KeyedRecord keyedRecord,
+            final long timeoutMs,
+            final boolean mayRepeat,
+            final Consumer<Boolean> callback) {
+        this.votingConfiguration = votingConfiguration;
+        this.quorum = votingConfiguration.quorum();
+        this.loop = loop;
+        this.transport = transport;
+        this.storeHealth = storeHealth;
+        this.shard = shard;
+        this.keyedRecord = keyedRecord;
+        this.timeoutMs = timeoutMs;
+        this.mayRepeat = mayRepeat;
+        this.callback = callback;
+        this.startedAt = loop.now();
+        this.unanswered = quorum.voters().size();
+    }
+
+    void start() {
+        final List<NodeId> keepers = quorum.voters();
+        keepers.forEach(keeper -> {
+            final OptionalLong era = shard.reader().eraOf(keeper);
+            if (era.isPresent()) {
+                transport.request(
+                        keeper,
+                        new RecordWriteRequest(quorum.epoch(), keyedRecord, era.getAsLong()),
+                        timeoutMs,
+                        reply -> onReply(keeper, reply));
+            } else {
+                unanswered--;
+                staleKeepers.add(keeper);
+            }
+        });
+        loop.schedule(StoreHealth.SILENCE_TIMEOUT_MS, this::check);
+        checkRepeatedly();
+    }
+
+    private void checkRepeatedly() {
+        check();
+        if (!finished) {
+            loop.schedule(CHECK_INTERVAL_MS, this::checkRepeatedly);
+        }
+    }
+
+    private void onReply(final NodeId keeper, final Reply reply) {
+        unanswered--;
+        if (votingConfiguration.isEpochMismatch(keeper, reply)) {
+            staleKeepers.add(keeper);
+        }
+        if (RejectedResponse.isStorageUnavailable(reply)) {
+            storeHealth.markSilent(keeper);
+        }
+        reply.as(RecordWriteResponse.class).ifPresent(response -> onResponse(keeper, response));
+        check();
+    }
+
+    private void onResponse(final NodeId keeper, final RecordWriteResponse response) {
+        if (response.staleEra()) {
+            staleKeepers.add(keeper);
+            shard.reader().readAgain(keeper);
+        } else if (response.accepted()) {
+            syncedBy.add(keeper);
+            storeHealth.recordSync(keeper);
+            if (!response.incomplete()) {
+                accepted.add(keeper);
+            }
+        } else {
+            superseded |= storeHealth.isStore(keeper);
+        }
+    }
+
+    private void check() {
+        if (finished) {
+            return;
+        }
+        if (votingConfiguration.epoch() != quorum.epoch()) {
+            onVotingSetChange();
+            return;
+        }
+        final boolean hasWriteQuorum = quorum.isWriteQuorum(accepted);
+        if (hasWriteQuorum && !superseded && storeHealth.allReachableSynced(syncedBy, loop.now() - startedAt)) {
+            finish(true);
+        } else if (superseded
+                || !hasWriteQuorum && (unanswered == 0 || accepted.size() + unanswered < quorum.majority())) {
+            finish(false);
+        }
+    }
+
+    /** Another set of keepers counts now: what this one has acknowledged is handed over, and the new one is asked. */
+    private void onVotingSetChange() {
+        finished = true;
+        shard.whenReady(VOTING_CHANGE_PATIENCE_MS, () -> repeat(mayRepeat), () -> callback.accept(false));
+    }
+
+    private void finish(final boolean succeeded) {
+        finished = true;
+        if (succeeded || superseded || staleKeepers.isEmpty() || !mayRepeat) {
+            callback.accept(succeeded);
+            return;
+        }
+        shard.whenReady(timeoutMs, () -> repeat(false), () -> callback.accept(false));
+    }
+
+    /** Not over another process's intent that came to light when the keepers were read anew. */
+    private void repeat(final boolean mayRepeatAgain) {
+        if (keyedRecord.outcome() == null && shard.entries().get(keyedRecord.key()).foreignRecord != null) {
+            callback.accept(false);
+        } else {
+            new RecordWrite(
+                            votingConfiguration,
+                            loop,
+                            transport,
+                            storeHealth,
+                            shard,
+                            keyedRecord,
+                            timeoutMs,
+                            mayRepeatAgain,
+                            callback)
+                    .start();
+        }
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/AttemptAllowance.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/AttemptAllowance.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.limit;
 
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
@@ -23,35 +23,35 @@
     }
 
     /** {@code source} is asked for each further attempt and answers once, with how many it reserves for this node. */
-    static AttemptAllowance of(final int granted, final Consumer<IntConsumer> source) {
+    public static AttemptAllowance of(final int granted, final Consumer<IntConsumer> source) {
         return new AttemptAllowance(granted, source);
     }
 
-    /** Commits an attempt, asking for one more where none is in hand; {@code then} hears whether there is one. */
-    void commit(final Consumer<Boolean> then) {
+    /** Commits an attempt, asking for one more where none is in hand; {@code callback} hears whether there is one. */
+    public void commit(final Consumer<Boolean> callback) {
         if (committed < granted) {
             committed++;
-            then.accept(true);
+            callback.accept(true);
             return;
         }
         source.accept(more -> {
             granted += Math.max(0, more);
-            final boolean given = committed < granted;
-            committed += given ? 1 : 0;
-            then.accept(given);
+            final boolean available = committed < granted;
+            committed += available ? 1 : 0;
+            callback.accept(available);
         });
     }
 
-    void release() {
+    public void release() {
         committed--;
     }
 
     /** Whether an origin may have got the request from here. */
-    boolean used() {
+    public boolean used() {
         return committed > 0;
     }
 
-    int unused() {
+    public int unused() {
         return granted - committed;
     }
 }
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -0,0 +1,128 @@
+package org.rowanvalve.data.node;
+
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.election.LeaderElection;
+import org.rowanvalve.control.membership.Membership;
+import org.rowanvalve.control.view.ViewSynchronizer;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.data.edge.Edge;
+import org.rowanvalve.data.origin.OriginDispatcher;
+
+/** A node's orderly stop: no new callers, tenure given back, shards and vote handed over. */
+final class GracefulShutdown {
+    private static final long LINGER_MS = 100;
+    /** A leaving edge that still gets requests answers them: it ends once none has come for so long. */
+    private static final long QUIET_MS = 250;
+
+    private static final long HANDOVER_TIMEOUT_MS = 2500;
+    /** How long a leaving voter waits for its replacement. */
+    private static final long REPLACEMENT_TIMEOUT_MS = 3500;
+
+    private final Node node;
+    private final EventLoop loop;
+    private final EventJournal journal;
+    private final NodeId self;
+    private final Edge edge;
+    private final OriginDispatcher dispatcher;
+    private boolean started;
+    private boolean wasVoter;
+    private boolean outcomeJournaled;
+    private long startedAt;
+    private long withoutLeasesSince;
+
+    GracefulShutdown(final Node node, final Edge edge, final OriginDispatcher dispatcher) {
+        this.node = node;
+        this.loop = node.loop();
+        this.journal = node.journal();
+        this.self = node.settings().self().id();
+        this.edge = edge;
+        this.dispatcher = dispatcher;
+    }
+
+    boolean isStarted() {
+        return started;
+    }
+
+    void start(final long timeoutMs, final Runnable callback) {
+        started = true;
+        startedAt = loop.now();
+        withoutLeasesSince = startedAt;
+        wasVoter = node.acceptor() != null && node.votingConfiguration().isVoter(self);
+        journal.add(Event.of(EventCode.STOPPING, "node", self.text()));
+        final long deadline = startedAt + timeoutMs;
+        final Runnable continuation = edge == null
+                ? () -> drain(deadline, callback)
+                : () -> loop.schedule(Math.min(node.settings().drainNoticeMs(), timeoutMs), () -> {
+                    edge.close();
+                    drain(deadline, callback);
+                });
+        final LeaderElection election = node.election();
+        if (election != null) {
+            election.resign(continuation);
+        } else {
+            continuation.run();
+        }
+    }
+
+    private void drain(final long deadline, final Runnable callback) {
+        final boolean idle = (edge == null || edge.openRequests() == 0 && edge.isQuiet(QUIET_MS))
+                && (dispatcher == null || dispatcher.inFlight() == 0)
+                && areShardsHandedOver()
+                && isVoterReplaced();
+        if (idle || loop.now() >= deadline) {
+            loop.schedule(LINGER_MS, () -> {
+                journal.add(Event.of(EventCode.STOPPED, "node", self.text()));
+                callback.run();
+            });
+        } else {
+            loop.schedule(50, () -> drain(deadline, callback));
+        }
+    }
+
+    /** A shield's stop is heard once the plan no longer names it; with nobody to hear, it does not wait for long. */
+    private boolean areShardsHandedOver() {
+        if (node.leaseHolder() == null) {
+            return true;
+        }
+        if (node.leaseHolder().heldCount() > 0) {
+            withoutLeasesSince = loop.now();
+            return false;
+        }
+        return node.configuration().plan().assignments().stream()
+                        .noneMatch(assignment -> assignment.owner().equals(self.text()))
+                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MS;
+    }
+
+    /** A voter stays until the set that no longer names it has taken over; without a standby it need not wait. */
+    private boolean isVoterReplaced() {
+        if (!wasVoter || !node.settings().votersMayChange()) {
+            return true;
+        }
+        final VotingConfiguration votingConfiguration = node.votingConfiguration();
+        final ViewSynchronizer view = node.viewSynchronizer();
+        final boolean replacedByOther = !votingConfiguration.isVoter(self) && view.isConfirmedInEpoch();
+        final boolean noStandby =
+                votingConfiguration.isVoter(self) && !hasStandby(votingConfiguration, node.membership());
+        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MS;
+        if (finished && !outcomeJournaled) {
+            outcomeJournaled = true;
+            journal.add(Event.of(
+                    replacedByOther ? EventCode.VOTE_HANDED : EventCode.VOTE_KEPT,
+                    "epoch",
+                    votingConfiguration.epoch()));
+        }
+        return finished;
+    }
+
+    private static boolean hasStandby(final VotingConfiguration votingConfiguration, final Membership membership) {
+        return membership.liveMembers(Role.SHIELD).stream()
+                .anyMatch(
+                        member -> !votingConfiguration.isVoter(member.id()) && member.status() != NodeStatus.DRAINING);
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
@@ -0,0 +1,163 @@
+package org.rowanvalve.data.node;
+
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.AcceptRequest;
+import org.rowanvalve.common.message.AckResponse;
+import org.rowanvalve.common.message.AttemptGrantRequest;
+import org.rowanvalve.common.message.AttemptGrantResponse;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.DigestRequest;
+import org.rowanvalve.common.message.FenceAckRequest;
+import org.rowanvalve.common.message.ForwardRequest;
+import org.rowanvalve.common.message.HeartbeatRequest;
+import org.rowanvalve.common.message.LearnNotification;
+import org.rowanvalve.common.message.LeaseGrantRequest;
+import org.rowanvalve.common.message.LeaseHelloRequest;
+import org.rowanvalve.common.message.LeaseRenewRequest;
+import org.rowanvalve.common.message.LeaseRevokeRequest;
+import org.rowanvalve.common.message.LoadReport;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MissingItemsRequest;
+import org.rowanvalve.common.message.OutcomeRequest;
+import org.rowanvalve.common.message.PrepareRequest;
+import org.rowanvalve.common.message.RecordChecksumsRequest;
+import org.rowanvalve.common.message.RecordHandoverRequest;
+import org.rowanvalve.common.message.RecordPageRequest;
+import org.rowanvalve.common.message.RecordReadRequest;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.RegisterHandoverRequest;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.message.StandbyPrepareRequest;
+import org.rowanvalve.common.message.StateTransferRequest;
+import org.rowanvalve.common.message.StatusRequest;
+import org.rowanvalve.common.message.StatusResponse;
+import org.rowanvalve.common.message.UpdateForwardRequest;
+import org.rowanvalve.common.message.VotersRequest;
+import org.rowanvalve.common.message.VotersResponse;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.lease.LeaseManager;
+import org.rowanvalve.control.view.ViewServer;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.shield.Shield;
+
+/** Brings each message to the part of the node that it is for. */
+final class MessageRouter {
+    private final Node node;
+    private final ViewServer viewServer;
+    private final LeaseManager leaseManager;
+    private final OriginDispatcher dispatcher;
+    private final Shield shield;
+    private final Consumer<ChosenItem> learner;
+
+    MessageRouter(
+            final Node node,
+            final ViewServer viewServer,
+            final LeaseManager leaseManager,
+            final OriginDispatcher dispatcher,
+            final Shield shield,
+            final Consumer<ChosenItem> learner) {
+        this.node = node;
+        this.viewServer = viewServer;
+        this.leaseManager = leaseManager;
+        this.dispatcher = dispatcher;
+        this.shield = shield;
+        this.learner = learner;
+    }
+
+    void route(final NodeId from, final Message message, final Consumer<Message> callback) {
+        if (node.acceptor() != null && routeToVoter(from, message, callback)) {
+            return;
+        }
+        routeOther(from, message, callback);
+    }
+
+    private boolean routeToVoter(final NodeId from, final Message message, final Consumer<Message> callback) {
+        if (message instanceof PrepareRequest request) {
+            node.acceptor().prepare(request, callback);
+        } else if (message instanceof AcceptRequest request) {
+            node.acceptor().accept(request, callback);
+        } else if (message instanceof StateTransferRequest request) {
+            node.acceptor().transferState(from, request, callback);
+        } else if (message instanceof DigestRequest request) {
+            viewServer.onDigestRequest(request, callback);
+        } else if (message instanceof MissingItemsRequest request) {
+            viewServer.onMissingItemsRequest(request, callback);
+        } else if (message instanceof RegisterHandoverRequest request) {
+            node.acceptor().handOverRegisters(from, request, callback);
+        } else if (message instanceof RecordHandoverRequest request) {
+            node.acceptor().handOverRecords(from, request, callback);
+        } else if (message instanceof StandbyPrepareRequest request) {
+            node.keyedRecords()
+                    .prepareStandby(warm -> node.acceptor()
+                            .prepareStandby(
+                                    request.epoch(),
+                                    warm
+                                            && node.viewSynchronizer().isFresh()
+                                            && node.viewSynchronizer().isConfirmedInEpoch(),
+                                    callback));
+        } else {
+            return routeToRecords(message, callback);
+        }
+        return true;
+    }
+
+    /** What concerns the records of keyed requests. An outcome is a fact in any epoch. */
+    private boolean routeToRecords(final Message message, final Consumer<Message> callback) {
+        if (message instanceof RecordReadRequest request) {
+            inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onRead(request, callback));
+        } else if (message instanceof RecordWriteRequest request) {
+            inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onWrite(request, callback));
+        } else if (message instanceof RecordChecksumsRequest request) {
+            inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onChecksumsRequest(request, callback));
+        } else if (message instanceof RecordPageRequest request) {
+            inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onPageRequest(request, callback));
+        } else if (message instanceof OutcomeRequest request) {
+            node.keyedRecords().onOutcomeRequest(request, callback);
+        } else {
+            return false;
+        }
+        return true;
+    }
+
+    /** Records are kept in the present epoch only. */
+    private void inCurrentEpoch(final long epoch, final Consumer<Message> callback, final Runnable answer) {
+        node.acceptor().rejection(epoch).ifPresentOrElse(callback, answer);
+    }
+
+    private void routeOther(final NodeId from, final Message message, final Consumer<Message> callback) {
+        if (message instanceof LearnNotification request) {
+            request.items().forEach(learner);
+            callback.accept(new AckResponse());
+        } else if (message instanceof UpdateForwardRequest request) {
+            node.updateService().onForwarded(request, callback);
+        } else if (message instanceof HeartbeatRequest request) {
+            node.membership().onHeartbeat(request, callback);
+        } else if (message instanceof LeaseHelloRequest request && leaseManager != null) {
+            leaseManager.onHello(from, request, callback);
+        } else if (message instanceof LeaseRenewRequest request && leaseManager != null) {
+            leaseManager.onRenew(from, request, callback);
+        } else if (message instanceof LeaseGrantRequest request && node.leaseHolder() != null) {
+            node.leaseHolder().onGrant(from, request, callback);
+        } else if (message instanceof LeaseRevokeRequest request && node.leaseHolder() != null) {
+            node.leaseHolder().onRevoke(from, request, callback);
+        } else if (message instanceof FenceAckRequest request && node.leaseHolder() != null) {
+            node.leaseHolder().onFenceAck(request, callback);
+        } else if (message instanceof ForwardRequest request && shield != null) {
+            shield.handle(from, request, callback);
+        } else if (message instanceof AttemptGrantRequest request && node.edge() != null) {
+            callback.accept(new AttemptGrantResponse(node.edge().grantAttempts(from, request.serial())));
+        } else if (message instanceof LoadReport request && dispatcher != null) {
+            dispatcher.onLoadReport(from, request);
+            callback.accept(new AckResponse());
+        } else if (message instanceof VotersRequest) {
+            callback.accept(new VotersResponse(
+                    node.settings().foundingVoters(),
+                    node.votingConfiguration().chosenSet().orElse(null)));
+        } else if (message instanceof StatusRequest request) {
+            callback.accept(new StatusResponse(new StatusReport(node).describe(request.topic())));
+        } else {
+            callback.accept(
+                    new RejectedResponse("not done here: " + message.getClass().getSimpleName()));
+        }
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
@@ -0,0 +1,95 @@
+package org.rowanvalve.data.node;
+
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.control.config.ConfigurationView;
+import org.rowanvalve.control.consensus.Acceptor;
+import org.rowanvalve.control.consensus.MonitoredStorage;
+import org.rowanvalve.control.consensus.Proposer;
+import org.rowanvalve.control.consensus.UnfinishedWriteRecovery;
+import org.rowanvalve.control.membership.Membership;
+import org.rowanvalve.control.record.KeyedRecordStore;
+import org.rowanvalve.control.record.RecordRetention;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.control.view.ViewServer;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.data.settings.NodeSettings;
+
+/** What a node has that votes or may be called to: the voter, its records of keyed requests, and what they need. */
+final class VoterComponents {
+    private static final long COLLECTION_INTERVAL_MS = 1000;
+    private final EventLoop loop;
+    private final ItemStore items;
+    private final Acceptor acceptor;
+    private final KeyedRecordStore keyedRecords;
+    private final UnfinishedWriteRecovery writeRecovery;
+    private final ViewServer viewServer;
+
+    VoterComponents(
+            final NodeSettings settings,
+            final Node.Runtime runtime,
+            final VotingConfiguration votingConfiguration,
+            final ItemStore items,
+            final ConfigurationView configuration,
+            final Membership membership,
+            final Proposer proposer,
+            final EventJournal journal) {
+        loop = runtime.loop();
+        this.items = items;
+        final NodeId ownId = settings.self().id();
+        final String incarnation = settings.self().incarnation();
+        final MonitoredStorage storage = new MonitoredStorage(runtime.storage(), loop);
+        acceptor = new Acceptor(
+                ownId,
+                votingConfiguration,
+                loop,
+                runtime.transport(),
+                storage,
+                journal,
+                incarnation,
+                settings.firstBoot(),
+                () -> !membership.itemsReported());
+        keyedRecords = new KeyedRecordStore(
+                ownId,
+                incarnation,
+                votingConfiguration,
+                runtime.transport(),
+                loop,
+                runtime.wallClock(),
+                storage,
+                journal,
+                new RecordRetention(settings.keyWindowMs(), configuration::longestKeyedTimeoutMs));
+        writeRecovery = new UnfinishedWriteRecovery(
+                acceptor,
+                items,
+                proposer,
+                loop,
+                runtime.random(),
+                () -> votingConfiguration.voters().indexOf(ownId));
+        viewServer = new ViewServer(acceptor, items, loop);
+    }
+
+    void start() throws StorageException {
+        acceptor.onStateRebuilt(() -> items.all().forEach(acceptor::learn));
+        acceptor.prefillItems(items::all);
+        acceptor.connectRecords(keyedRecords);
+        keyedRecords.start();
+        acceptor.start();
+        writeRecovery.start();
+        loop.scheduleRepeatedly(COLLECTION_INTERVAL_MS, () -> acceptor.collect(items.collectionFloor()));
+    }
+
+    Acceptor acceptor() {
+        return acceptor;
+    }
+
+    KeyedRecordStore keyedRecords() {
+        return keyedRecords;
+    }
+
+    ViewServer viewServer() {
+        return viewServer;
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/SendDemand.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/DemandCounter.java
@@ -1,25 +1,26 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.origin;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.rowanvalve.common.Msg;
+import org.rowanvalve.common.message.ShardDemand;
 
 /** Sends that were wanted, by service and shard, since they were last asked for. */
-final class SendDemand {
+final class DemandCounter {
     private final Map<String, Map<Integer, Integer>> counts = new HashMap<>();
 
     void add(final String service, final int shard) {
-        if (shard != OriginRequest.NONE) {
+        if (shard != OriginRequest.NO_SHARD) {
             counts.computeIfAbsent(service, k -> new HashMap<>()).merge(shard, 1, Integer::sum);
         }
     }
 
-    List<Msg.Wish> take() {
-        final List<Msg.Wish> list = new ArrayList<>();
-        counts.forEach((service, by) -> by.forEach((shard, n) -> list.add(new Msg.Wish(service, shard, n))));
+    List<ShardDemand> drain() {
+        final List<ShardDemand> demand = new ArrayList<>();
+        counts.forEach((service, byShard) ->
+                byShard.forEach((shard, count) -> demand.add(new ShardDemand(service, shard, count))));
         counts.clear();
-        return list;
+        return demand;
     }
 }
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
@@ -0,0 +1,152 @@
+package org.rowanvalve.data.origin;
+
+import java.util.Map;
+import org.rowanvalve.common.event.Event;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.control.config.Origin;
+
+/** One request sent to one origin, from the last check of its right until the answer or the end of the connection. */
+final class OriginAttempt {
+    private final OriginDispatcher dispatcher;
+    private final OriginDispatch dispatch;
+    private final OriginRequest request;
+    private final ItemId originId;
+    private final Origin origin;
+    private final long sentAt;
+    private OriginTransport.Exchange exchange;
+    private OriginTransport.OutboundRequest sent;
+
+    OriginAttempt(
+            final OriginDispatcher dispatcher,
+            final OriginDispatch dispatch,
+            final ItemId originId,
+            final Origin origin) {
+        this.dispatcher = dispatcher;
+        this.dispatch = dispatch;
+        this.request = dispatch.request();
+        this.originId = originId;
+        this.origin = origin;
+        this.sentAt = dispatcher.loop().now();
+    }
+
+    void send(final boolean extra) {
+        dispatcher.load().onSend(originId, sentAt);
+        dispatcher.loadExchange().onChange(origin);
+        dispatcher.attemptsByShard(request.shard()).add(this);
+        sent = withDeadline(request.request());
+        journalSend(extra);
+        exchange = dispatcher.originTransport().send(origin, sent, this::mayWrite, this::onResponse);
+        final double meanMs = dispatcher.load().meanMs(Map.of(originId, origin), sentAt);
+        dispatcher
+                .loop()
+                .schedule(
+                        (long) Math.max(request.atMostOnce() ? 1000 : 200, (request.atMostOnce() ? 6 : 4) * meanMs),
+                        this::onSlow);
+    }
+
+    /** The same request with the time that is left, and a name of this node's own where the client gave it none. */
+    private OriginTransport.OutboundRequest withDeadline(final OriginTransport.OutboundRequest what) {
+        return new OriginTransport.OutboundRequest(
+                what.service(),
+                what.method(),
+                what.path(),
+                what.requestId().isEmpty() ? dispatcher.newRequestId() : what.requestId(),
+                what.key(),
+                what.body(),
+                what.contentType(),
+                request.deadline() - sentAt,
+                what.headers());
+    }
+
+    private void journalSend(final boolean extra) {
+        dispatcher
+                .journal()
+                .add(Event.of(
+                        EventCode.ORIGIN_SEND,
+                        "shard",
+                        request.shard(),
+                        "token",
+                        dispatcher.token(request.shard()),
+                        "service",
+                        sent.service(),
+                        "origin",
+                        originId.name(),
+                        "request",
+                        sent.requestId(),
+                        "extra",
+                        extra,
+                        "key",
+                        sent.key() == null ? "" : sent.key()));
+    }
+
+    /** Asked right before the bytes are written. */
+    private boolean mayWrite() {
+        final long now = dispatcher.loop().now();
+        return dispatcher.mayUse(request.shard(), request.service())
+                && origin.isSameProcess(
+                        dispatcher.view().liveOrigins(request.service(), now).get(originId))
+                && now < request.deadline();
+    }
+
+    private void onSlow() {
+        if (!dispatch.finished() && dispatcher.attemptsByShard(request.shard()).contains(this)) {
+            dispatcher.load().onFailure(originId, dispatcher.loop().now());
+            dispatch.onSlow();
+        }
+    }
+
+    private void onResponse(final OriginTransport.OriginResponse response) {
+        if (!closeOnce(
+                response.result() == OriginTransport.ExchangeResult.COMPLETE
+                        || response.result() == OriginTransport.ExchangeResult.NOT_EXECUTED,
+                response.load())) {
+            return;
+        }
+        final OriginTransport.OriginResponse got = checked(response);
+        if (got.result() == OriginTransport.ExchangeResult.INVALID
+                || got.result() == OriginTransport.ExchangeResult.WRONG_INSTANCE) {
+            final EventCode code = got.result() == OriginTransport.ExchangeResult.INVALID
+                    ? EventCode.ORIGIN_BAD
+                    : EventCode.ORIGIN_STRANGE;
+            dispatcher
+                    .journal()
+                    .add(Event.of(code, "origin", originId.name(), "request", sent.requestId(), "why", got.reason()));
+        }
+        if (!dispatch.finished()) {
+            dispatch.onEnd(got, originId, origin, sentAt);
+        }
+        dispatcher.drainQueue(request.service());
+    }
+
+    private OriginTransport.OriginResponse checked(final OriginTransport.OriginResponse response) {
+        final String fault = response.result() == OriginTransport.ExchangeResult.COMPLETE
+                ? dispatcher.originTransport().error(origin, sent, response)
+                : "";
+        return fault.isEmpty()
+                ? response
+                : OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.INVALID, fault);
+    }
+
+    private boolean closeOnce(final boolean answered, final OriginTransport.Load load) {
+        final boolean wasOpen = dispatcher.attemptsByShard(request.shard()).remove(this);
+        if (wasOpen) {
+            dispatch.onClosed();
+            dispatcher.load().onEnd(originId, sentAt, dispatcher.loop().now(), answered, load);
+            dispatcher.loadExchange().onChange(origin);
+        }
+        return wasOpen;
+    }
+
+    /** The right to send has ended: the connection is closed, and nobody can know whether the request ran. */
+    void abort() {
+        if (closeOnce(false, OriginTransport.Load.NONE)) {
+            exchange.abort();
+            dispatch.finish(
+                    OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "right to send ended"),
+                    true,
+                    dispatcher.loop().now(),
+                    1000);
+        }
+    }
+}
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
@@ -0,0 +1,89 @@
+package org.rowanvalve.data.origin;
+
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.rowanvalve.control.config.Origin;
+
+/** The way to origins. Nothing reaches an origin that is not the announced one. */
+public interface OriginTransport {
+    /** {@code NOT_EXECUTED}: the origin said that it did not run the request. */
+    enum ExchangeResult {
+        COMPLETE,
+        NOT_SENT,
+        NOT_EXECUTED,
+        NOT_PERMITTED,
+        WRONG_INSTANCE,
+        LOST,
+        INVALID
+    }
+
+    record OutboundRequest(
+            String service,
+            String method,
+            String path,
+            String requestId,
+            String key,
+            byte[] body,
+            String contentType,
+            long timeoutMs,
+            Map<String, String> headers) {
+        public OutboundRequest(
+                final String service,
+                final String method,
+                final String path,
+                final String requestId,
+                final String key,
+                final byte[] body,
+                final String contentType,
+                final long timeoutMs) {
+            this(service, method, path, requestId, key, body, contentType, timeoutMs, Map.of());
+        }
+    }
+
+    /** What an origin told of its load with an answer; {@code slots} 0 where it told nothing. */
+    record Load(int running, int waiting, int slots) {
+        public static final Load NONE = new Load(0, 0, 0);
+    }
+
+    /** {@code tags}: names under which the answer may be purged. */
+    record OriginResponse(
+            ExchangeResult result,
+            int status,
+            Map<String, String> headers,
+            byte[] body,
+            String reason,
+            List<String> tags,
+            Load load) {
+        public OriginResponse(
+                final ExchangeResult result,
+                final int status,
+                final Map<String, String> headers,
+                final byte[] body,
+                final String reason) {
+            this(result, status, headers, body, reason, List.of(), Load.NONE);
+        }
+
+        public static OriginResponse without(final ExchangeResult end, final String why) {
+            return new OriginResponse(end, 0, Map.of(), new byte[0], why);
+        }
+    }
+
+    @FunctionalInterface
+    interface Exchange {
+        void abort();
+    }
+
+    /** Asked in the last step before the request's bytes are written. */
+    @FunctionalInterface
+    interface Permission {
+        boolean mayWrite();
+    }
+
+    Exchange send(Origin to, OutboundRequest what, Permission gate, Consumer<OriginResponse> then);
+
+    /** What an answer lacks to be shown to a caller; empty where it lacks nothing. */
+    default String error(final Origin to, final OutboundRequest sent, final OriginResponse got) {
+        return OriginResponseValidator.error(to, sent, got.headers(), got.body());
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/EndToEndHeaders.java
+++ b/data/src/main/java/org/rowanvalve/data/request/EndToEndHeaders.java
@@ -1,13 +1,14 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.request;
 
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import org.rowanvalve.data.origin.OriginResponseValidator;
 
 /** The headers of an origin's answer that go on to the caller. */
-final class EndToEndHeaders {
+public final class EndToEndHeaders {
     /** Headers that concern one connection, or that say what another member says already. */
-    private static final Set<String> HOPS = Set.of(
+    private static final Set<String> CONNECTION_HEADERS = Set.of(
             "connection",
             "keep-alive",
             "transfer-encoding",
@@ -18,13 +19,13 @@
             "proxy-connection",
             "date",
             "server",
-            AnswerCheck.SERVICE);
+            OriginResponseValidator.SERVICE_HEADER);
 
     private EndToEndHeaders() {}
 
-    static Map<String, String> of(final Map<String, String> heads) {
-        final Map<String, String> map = new TreeMap<>(heads);
-        map.keySet().removeAll(HOPS);
-        return map;
+    public static Map<String, String> of(final Map<String, String> headers) {
+        final Map<String, String> endToEnd = new TreeMap<>(headers);
+        endToEnd.keySet().removeAll(CONNECTION_HEADERS);
+        return endToEnd;
     }
 }
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/routing/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Which shard an object or an operation belongs to.
+ */
+package org.rowanvalve.data.routing;
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -0,0 +1,403 @@
+package org.rowanvalve.data.shield;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.rowanvalve.common.message.AttemptGrantRequest;
+import org.rowanvalve.common.message.AttemptGrantResponse;
+import org.rowanvalve.common.message.ForwardRequest;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.VersionVector;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.config.ConfigurationView;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.lease.LeaseHolder;
+import org.rowanvalve.data.cache.Cache;
+import org.rowanvalve.data.cache.CachedResponse;
+import org.rowanvalve.data.keyed.KeyedRequests;
+import org.rowanvalve.data.limit.AttemptAllowance;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.origin.OriginRequest;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.data.request.EndToEndHeaders;
+import org.rowanvalve.data.routing.ShardRouting;
+import org.rowanvalve.data.settings.NodeSettings;
+
+/** Answers edges: from its cache, by one fill for many, straight through, or once only. */
+public final class Shield {
+    private static final int MAX_WAITERS = 512;
+    /** How long a keyed request waits at most for the keepers to be read. */
+    private static final long KEYED_PATIENCE_MS = 1500;
+    /** How long an edge has to say whether one more attempt may be made, in ms. */
+    private static final long GRANT_TIMEOUT_MS = 300;
+
+    private static final long LONGEST_PATIENCE_MS = 400;
+
+    private final EventLoop loop;
+    private final Transport transport;
+    private final ConfigurationView configuration;
+    private final LeaseHolder leases;
+    private final OriginDispatcher dispatcher;
+    private final KeyedRequests keyedRequests;
+    private final BooleanSupplier viewFresh;
+    private final Runnable pollView;
+    private final NodeSettings settings;
+    private final Cache cache;
+    private final Map<String, Fill> fills = new HashMap<>();
+
+    private record Fill(VersionVector versions, List<Waiter> waiters) {}
+
+    private record Waiter(ForwardedRequest request, long deadline, Consumer<ForwardResponse> callback) {
+        ForwardRequest forward() {
+            return request.forward();
+        }
+    }
+
+    /** A request as an edge asked it, with the attempts that this node may make for it. */
+    private record ForwardedRequest(ForwardRequest forward, AttemptAllowance attempts) {}
+
+    public Shield(
+            final EventLoop loop,
+            final Transport transport,
+            final ConfigurationView configuration,
+            final LeaseHolder leases,
+            final OriginDispatcher dispatcher,
+            final KeyedRequests atMostOnce,
+            final BooleanSupplier viewFresh,
+            final Runnable pollView,
+            final NodeSettings settings,
+            final long cacheBytes) {
+        this.loop = loop;
+        this.transport = transport;
+        this.configuration = configuration;
+        this.leases = leases;
+        this.dispatcher = dispatcher;
+        this.keyedRequests = atMostOnce;
+        this.viewFresh = viewFresh;
+        this.pollView = pollView;
+        this.settings = settings;
+        this.cache = new Cache(cacheBytes, copy -> configuration.areTagsCurrent(copy.tagVersions()));
+    }
+
+    private ForwardResponse reject(
+            final ForwardRequest request, final int status, final String reason, final long retryAfterMs) {
+        return KeyedRequests.response(
+                ClientResponse.REFUSED, status, reason, leases.token(request.shard()), retryAfterMs);
+    }
+
+    /** {@code from}: the edge that keeps count of the request's attempts. */
+    public void handle(final NodeId from, final ForwardRequest request, final Consumer<Message> callback) {
+        final AttemptAllowance attempts = allowance(from, request);
+        handle(
+                new ForwardedRequest(request, attempts),
+                loop.now() + request.timeoutMs(),
+                loop.now() + patienceMs(request),
+                answer -> callback.accept(
+                        request.attempts() == null ? answer : answer.withUnusedAttempts(attempts.unused())));
+    }
+
+    /** For how long a request waits until this node knows what its edge knows; a read for a quarter of its aim at most. */
+    private long patienceMs(final ForwardRequest request) {
+        final long targetMs = configuration
+                .routeNamed(request.route())
+                .filter(reply -> reply.route().hasMode(Route.CACHED))
+                .map(reply -> reply.route().latencyTargetMs())
+                .orElse(0L);
+        return Math.min(
+                targetMs > 0 ? targetMs / 4 : LONGEST_PATIENCE_MS, Math.min(LONGEST_PATIENCE_MS, request.timeoutMs()));
+    }
+
+    /** An edge that states no attempts counts none, so the route alone bounds them here. */
+    private AttemptAllowance allowance(final NodeId from, final ForwardRequest request) {
+        if (request.attempts() == null) {
+            return AttemptAllowance.of(configuration
+                    .routeNamed(request.route())
+                    .map(reply -> reply.route().maxAttempts())
+                    .orElse(1));
+        }
+        return AttemptAllowance.of(
+                request.attempts(),
+                callback -> transport.request(
+                        from,
+                        new AttemptGrantRequest(request.serial()),
+                        GRANT_TIMEOUT_MS,
+                        reply -> callback.accept(reply.as(AttemptGrantResponse.class)
+                                .map(AttemptGrantResponse::count)
+                                .orElse(0))));
+    }
+
+    private void handle(
+            final ForwardedRequest call,
+            final long deadline,
+            final long patienceUntil,
+            final Consumer<ForwardResponse> callback) {
+        final ForwardRequest request = call.forward();
+        final ConfiguredRoute route = configuration.routeNamed(request.route()).orElse(null);
+        final VersionVector versions = route == null ? null : configuration.versionsOf(route, request.path());
+        if (route == null || request.versions() != null && !versions.covers(request.versions())) {
+            if (loop.now() >= patienceUntil) {
+                callback.accept(reject(request, 503, "the holder's frame is behind", 1000));
+            } else {
+                pollView.run();
+                loop.schedule(50, () -> handle(call, deadline, patienceUntil, callback));
+            }
+            return;
+        }
+        if (request.passThrough()) {
+            passThrough(call, route, deadline, callback);
+        } else if (request.shard()
+                != ShardRouting.shardOf(
+                        route,
+                        request.path(),
+                        request.key(),
+                        settings.shards(),
+                        settings.regions().size(),
+                        request.shard() % settings.regions().size())) {
+            callback.accept(reject(request, 400, "the shard does not fit the request", 0));
+        } else if (leases.token(request.shard()).isBelow(request.knownToken())
+                || leases.token(request.shard()).equals(FencingToken.ZERO)) {
+            callback.accept(reject(request, 503, "not the holder", 500));
+        } else if (route.route().purgeable() && !viewFresh.getAsBoolean()) {
+            callback.accept(reject(request, 503, "the holder's frame is not confirmed", 1000));
+        } else {
+            switch (route.route().mode()) {
+                case Route.CACHED -> fillCached(call, route, versions, deadline, callback);
+                case Route.KEYED -> runKeyed(call, route, deadline, callback);
+                default -> sendThrough(call, route, deadline, callback);
+            }
+        }
+    }
+
+    /** What needs no right to fill, or is passed through unkept while nobody has the right. */
+    private void passThrough(
+            final ForwardedRequest call,
+            final ConfiguredRoute route,
+            final long deadline,
+            final Consumer<ForwardResponse> callback) {
+        final ForwardRequest request = call.forward();
+        if (!route.route().anyShield() || route.route().hasMode(Route.KEYED)) {
+            callback.accept(reject(request, 503, "this route needs the right to fill", 500));
+            return;
+        }
+        final boolean atMostOnce = route.route().hasMode(Route.AT_MOST_ONCE);
+        dispatcher.send(
+                originRequest(call, route, OriginRequest.NO_SHARD, atMostOnce, deadline),
+                completion -> callback.accept(
+                        completion.response().result() == OriginTransport.ExchangeResult.COMPLETE
+                                ? completed(request, completion.response())
+                                : failed(request, completion)));
+    }
+
+    private ForwardResponse completed(final ForwardRequest request, final OriginTransport.OriginResponse response) {
+        return new ForwardResponse(
+                ClientResponse.DONE,
+                "",
+                response.status(),
+                leases.token(request.shard()),
+                EndToEndHeaders.of(response.headers()),
+                response.body(),
+                0,
+                null,
+                0);
+    }
+
+    private OriginRequest originRequest(
+            final ForwardedRequest call,
+            final ConfiguredRoute route,
+            final int shard,
+            final boolean atMostOnce,
+            final long deadline) {
+        final ForwardRequest request = call.forward();
+        final String service = route.route()
+                .pickService(Hash.hash64(
+                        request.requestId() == null || request.requestId().isEmpty()
+                                ? request.path() + request.serial()
+                                : request.requestId()));
+        return new OriginRequest(
+                shard,
+                new OriginTransport.OutboundRequest(
+                        service,
+                        request.method(),
+                        request.path(),
+                        request.requestId() == null ? "" : request.requestId(),
+                        request.key(),
+                        request.body(),
+                        request.contentType(),
+                        0,
+                        request.headers() == null ? Map.of() : request.headers()),
+                atMostOnce,
+                deadline,
+                route.route().priority(),
+                call.attempts(),
+                request.retry() || call.attempts().used());
+    }
+
+    private boolean mayFill(final ForwardRequest request, final Consumer<ForwardResponse> callback) {
+        if (!leases.mayFill(request.shard())) {
+            callback.accept(reject(request, 503, "the right to fill is not sure", 1000));
+            return false;
+        }
+        return true;
+    }
+
+    private void fillCached(
+            final ForwardedRequest call,
+            final ConfiguredRoute route,
+            final VersionVector versions,
+            final long deadline,
+            final Consumer<ForwardResponse> callback) {
+        final ForwardRequest request = call.forward();
+        final String key = ShardRouting.cacheKey(route, request.path(), null);
+        final CachedResponse copy = leases.mayServe(request.shard()) ? usableCopy(request, key, versions) : null;
+        if (copy != null && copy.isFrom(route.route())) {
+            callback.accept(respondFrom(request, copy));
+            return;
+        }
+        final Fill current = fills.get(key);
+        if (current != null && current.versions().covers(versions)) {
+            if (current.waiters().size() >= MAX_WAITERS) {
+                callback.accept(reject(request, 503, "too many wait for this object", 1000));
+            } else {
+                current.waiters().add(new Waiter(call, deadline, callback));
+            }
+            return;
+        }
+        if (!mayFill(request, callback)) {
+            return;
+        }
+        final Fill fill = new Fill(versions, new ArrayList<>(List.of(new Waiter(call, deadline, callback))));
+        fills.put(key, fill);
+        final OriginRequest originRequest = originRequest(call, route, request.shard(), false, deadline);
+        dispatcher.send(originRequest, completion -> {
+            fills.remove(key, fill);
+            onFilled(key, route, fill, originRequest.service(), completion);
+        });
+    }
+
+    /** Without the right to fill, what is cached is served on, for as long as an object's change allows. */
+    private CachedResponse usableCopy(final ForwardRequest request, final String key, final VersionVector versions) {
+        return (leases.mayFill(request.shard())
+                        ? cache.findFresh(key, loop.now(), versions)
+                        : cache.findUsable(key, loop.now(), versions))
+                .orElse(null);
+    }
+
+    private void onFilled(
+            final String key,
+            final ConfiguredRoute route,
+            final Fill fill,
+            final String service,
+            final OriginDispatcher.Completion completion) {
+        final OriginTransport.OriginResponse response = completion.response();
+        if (response.result() != OriginTransport.ExchangeResult.COMPLETE) {
+            fill.waiters().forEach(waiter -> waiter.callback().accept(failed(waiter.forward(), completion)));
+            return;
+        }
+        final Map<String, Long> tags = new TreeMap<>();
+        response.tags().forEach(tag -> tags.put(tag, configuration.tagPurge(tag).version()));
+        final boolean tagsUnchanged = response.tags().stream()
+                .allMatch(tag -> configuration.tagPurge(tag).learnedAt() < completion.sentAt());
+        final CachedResponse copy = new CachedResponse(
+                response.status(),
+                EndToEndHeaders.of(response.headers()),
+                response.body(),
+                completion.sentAt(),
+                route.route().ttlMs(),
+                fill.versions(),
+                tags,
+                service);
+        final ConfiguredRoute current = configuration.routeNamed(route.name()).orElse(null);
+        final boolean unchanged = tagsUnchanged
+                && current != null
+                && current.route().services().contains(service)
+                && configuration
+                        .versionsOf(current, fill.waiters().get(0).forward().path())
+                        .equals(fill.versions());
+        if (unchanged && response.status() == 200) {
+            cache.put(key, copy);
+        }
+        for (final Waiter waiter : fill.waiters()) {
+            if (unchanged) {
+                waiter.callback().accept(respondFrom(waiter.forward(), copy));
+            } else if (current != null && loop.now() + 200 < waiter.deadline()) {
+                handle(waiter.request(), waiter.deadline(), loop.now(), waiter.callback());
+            } else {
+                waiter.callback().accept(reject(waiter.forward(), 503, "purged while it was filled", 500));
+            }
+        }
+    }
+
+    private ForwardResponse respondFrom(final ForwardRequest request, final CachedResponse copy) {
+        return new ForwardResponse(
+                ClientResponse.DONE,
+                "",
+                copy.status(),
+                leases.token(request.shard()),
+                copy.headers(),
+                copy.body(),
+                loop.now() - copy.filledAt(),
+                copy.versionsWithTags(),
+                0,
+                copy.service());
+    }
+
+    private ForwardResponse failed(final ForwardRequest request, final OriginDispatcher.Completion completion) {
+        final String fate = completion.mayHaveRun() ? ClientResponse.UNKNOWN : ClientResponse.REFUSED;
+        return KeyedRequests.response(
+                fate,
+                completion.mayHaveRun() ? 502 : 503,
+                completion.response().reason(),
+                leases.token(request.shard()),
+                completion.retryAfterMs());
+    }
+
+    private void sendThrough(
+            final ForwardedRequest call,
+            final ConfiguredRoute route,
+            final long deadline,
+            final Consumer<ForwardResponse> callback) {
+        final ForwardRequest request = call.forward();
+        if (mayFill(request, callback)) {
+            dispatcher.send(
+                    originRequest(call, route, request.shard(), route.route().hasMode(Route.AT_MOST_ONCE), deadline),
+                    completion -> callback.accept(
+                            completion.response().result() == OriginTransport.ExchangeResult.COMPLETE
+                                    ? completed(request, completion.response())
+                                    : failed(request, completion)));
+        }
+    }
+
+    private void runKeyed(
+            final ForwardedRequest call,
+            final ConfiguredRoute route,
+            final long deadline,
+            final Consumer<ForwardResponse> callback) {
+        final ForwardRequest request = call.forward();
+        if (request.key() == null) {
+            callback.accept(reject(request, 400, "a keyed request lacks its key", 0));
+        } else if (mayFill(request, callback)) {
+            final byte[] body = request.body() == null ? new byte[0] : request.body();
+            keyedRequests.handle(
+                    request.shard(),
+                    route.route().host().isEmpty()
+                            ? route.name() + "|" + route.route().service() + "|" + request.key()
+                            : ShardRouting.cacheKey(route, request.path(), request.key()),
+                    Hash.sha256Hex((request.path() + "\n" + Hash.sha256Hex(body))
+                            .getBytes(java.nio.charset.StandardCharsets.UTF_8)),
+                    Math.min(KEYED_PATIENCE_MS, Math.max(0, deadline - loop.now()) / 2),
+                    then -> dispatcher.send(originRequest(call, route, request.shard(), true, deadline), then),
+                    callback);
+        }
+    }
+}
--- a/data/src/test/java/org/rowanvalve/data/Ticks.java
+++ b/data/src/test/java/org/rowanvalve/data/VirtualTimeLoop.java
@@ -1,10 +1,10 @@
 package org.rowanvalve.data;
 
 import java.util.PriorityQueue;
-import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.runtime.EventLoop;
 
 /** A loop on virtual time. */
-final class Ticks implements Loop {
+public final class VirtualTimeLoop implements EventLoop {
     private final PriorityQueue<Due> queue = new PriorityQueue<>();
     private long now = 10_000;
     private long seq;
@@ -22,11 +22,11 @@
     }
 
     @Override
-    public void after(final long ms, final Runnable job) {
+    public void schedule(final long ms, final Runnable job) {
         queue.add(new Due(now + Math.max(0, ms), seq++, job));
     }
 
-    void run(final long ms) {
+    public void run(final long ms) {
         final long end = now + ms;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             now = queue.peek().at();
--- a/data/src/test/java/org/rowanvalve/data/EdgeReadsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeReadsTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.edge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,134 +8,138 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Mark;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.control.Match;
-import org.rowanvalve.control.Purge;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.VersionVector;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.data.origin.OriginDispatch;
+import org.rowanvalve.data.request.ClientResponse;
 
 /** Reads that may be kept, at an edge: one pass for all who wait, and what goes on where no holder may fill. */
 class EdgeReadsTest extends EdgeFixture {
     @Test
     void readsGoOnWithoutAHolderUnkept() {
         near.remove(N1);
-        ask(Match.CACHED);
-        assertTrue(at(0).fill().pass());
+        ask(Route.CACHED);
+        assertTrue(at(0).fill().passThrough());
         back(0, good("x"));
         assertEquals(200, status());
-        ask(Match.CACHED);
+        ask(Route.CACHED);
         assertEquals(2, asked.size(), "not kept");
     }
 
     @Test
     void readsGoOnWhereTheHolderFallsSilent() {
-        ask(Match.CACHED);
-        assertFalse(at(0).fill().pass());
+        ask(Route.CACHED);
+        assertFalse(at(0).fill().passThrough());
         silence.put(N1, 1000L);
         loop.run(350);
-        assertTrue(at(1).fill().pass());
+        assertTrue(at(1).fill().passThrough());
         back(1, good("x"));
         back(0, good("late"));
         assertEquals(200, status());
     }
 
-    private Mark mark() {
-        return view.mark(view.route("h", "/cached/1").orElseThrow(), "/cached/1");
+    private VersionVector mark() {
+        return configuration.versionsOf(configuration.route("h", "/cached/1").orElseThrow(), "/cached/1");
     }
 
     @Test
     void aCopyServesAllWhoWaitAndWhoComesLaterAlsoInParts() {
-        ask(Match.CACHED);
-        ask(Match.CACHED, "bytes=1-2", Map.of());
+        ask(Route.CACHED);
+        ask(Route.CACHED, "bytes=1-2", Map.of());
         assertEquals(1, asked.size());
-        back(0, filled(Answer.DONE, 200, "abcd", 0, mark()));
-        assertEquals(List.of(200, 206), said.stream().map(Answer::status).toList());
-        ask(Match.CACHED, "bytes=9-", Map.of());
-        ask(Match.CACHED);
+        back(0, filled(ClientResponse.DONE, 200, "abcd", 0, mark()));
         assertEquals(
-                List.of(200, 206, 416, 200), said.stream().map(Answer::status).toList());
+                List.of(200, 206), said.stream().map(ClientResponse::status).toList());
+        ask(Route.CACHED, "bytes=9-", Map.of());
+        ask(Route.CACHED);
+        assertEquals(
+                List.of(200, 206, 416, 200),
+                said.stream().map(ClientResponse::status).toList());
         assertEquals(1, asked.size());
         assertEquals("bc", new String(said.get(1).body()));
     }
 
     @Test
     void whatWasPurgedWhileItWasFilledIsFilledAnew() {
-        ask(Match.CACHED);
-        put(new ItemId(Kind.PURGE, "h.1"), 4, new Purge(null, "/cached/1", null, "h", null));
-        back(0, filled(Answer.DONE, 200, "old", 0, new Mark(Map.of())));
+        ask(Route.CACHED);
+        put(new ItemId(ItemKind.PURGE, "h.1"), 4, new Purge(null, "/cached/1", null, "h", null));
+        back(0, filled(ClientResponse.DONE, 200, "old", 0, new VersionVector(Map.of())));
         loop.run(70);
-        assertEquals(Map.of("p/h.1", 4L), at(1).fill().mark().vers());
-        put(new ItemId(Kind.PURGE, "t.1"), 5, new Purge(null, null, null, null, "t1"));
-        final Map<String, Long> tagged = new HashMap<>(mark().vers());
+        assertEquals(Map.of("p/h.1", 4L), at(1).fill().versions().versions());
+        put(new ItemId(ItemKind.PURGE, "t.1"), 5, new Purge(null, null, null, null, "t1"));
+        final Map<String, Long> tagged = new HashMap<>(mark().versions());
         tagged.put("t/t1", 0L);
-        back(1, filled(Answer.DONE, 200, "old", 0, new Mark(tagged)));
+        back(1, filled(ClientResponse.DONE, 200, "old", 0, new VersionVector(tagged)));
         loop.run(130);
         tagged.put("t/t1", 5L);
-        back(2, filled(Answer.DONE, 200, "new", 0, new Mark(tagged)));
+        back(2, filled(ClientResponse.DONE, 200, "new", 0, new VersionVector(tagged)));
         assertEquals("new", new String(said.get(0).body()));
         assertEquals(1, said.size());
-        put(new ItemId(Kind.PURGE, "t.1"), 6, new Purge(null, null, null, null, "t1"));
-        ask(Match.CACHED);
+        put(new ItemId(ItemKind.PURGE, "t.1"), 6, new Purge(null, null, null, null, "t1"));
+        ask(Route.CACHED);
         assertEquals(4, asked.size(), "the kept copy has that tag");
     }
 
     /** What one caller has already is no answer for another who waits for the same fill. */
     @Test
     void oneCallersConditionsDoNotGoWithAFillForMany() {
-        ask(Match.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
-        ask(Match.CACHED);
-        assertEquals(Map.of("Accept-Language", "sw"), at(0).fill().heads());
-        ask(Match.STATUS, null, Map.of("If-None-Match", "\"v1\""));
-        assertEquals(Map.of("If-None-Match", "\"v1\""), at(1).fill().heads());
+        ask(Route.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
+        ask(Route.CACHED);
+        assertEquals(Map.of("Accept-Language", "sw"), at(0).fill().headers());
+        ask(Route.STATUS, null, Map.of("If-None-Match", "\"v1\""));
+        assertEquals(Map.of("If-None-Match", "\"v1\""), at(1).fill().headers());
     }
 
     /** It answers, and may not fill: a read is worth less with each moment, so it goes on without the right. */
     @Test
     void aReadWaitsForAHolderThatMayNotFillForAQuarterOfItsAimAtMost() {
-        aim(Match.CACHED, 400);
+        aim(Route.CACHED, 400);
         final long begun = loop.now();
-        ask(Match.CACHED);
+        ask(Route.CACHED);
         back(0, refused(500));
         loop.run(70);
-        assertFalse(at(1).fill().pass(), "it may have got the right meanwhile");
+        assertFalse(at(1).fill().passThrough(), "it may have got the right meanwhile");
         back(1, refused(500));
         loop.run(30);
-        assertTrue(at(2).fill().pass());
-        assertFalse(at(2).fill().extra(), "nothing was sent");
+        assertTrue(at(2).fill().passThrough());
+        assertFalse(at(2).fill().retry(), "nothing was sent");
         assertTrue(loop.now() - begun <= 110, "a quarter of 400");
         back(2, good("x"));
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Match.CACHED);
+        ask(Route.CACHED);
         back(0, refused(1000));
-        assertTrue(at(1).fill().pass(), "at once where the holder needs longer");
+        assertTrue(at(1).fill().passThrough(), "at once where the holder needs longer");
     }
 
     @Test
     void aReadThatNobodyMayFillIsRefusedAtOnceWithWhenToComeBack() {
-        aim(Match.CACHED, 400);
-        ask(Match.CACHED);
+        aim(Route.CACHED, 400);
+        ask(Route.CACHED);
         near.clear();
         final long begun = loop.now();
         back(0, refused(1000));
         assertEquals(503, status());
         assertEquals(begun, loop.now());
-        assertEquals(1000, said.get(0).retryMs());
+        assertEquals(1000, said.get(0).retryAfterMs());
     }
 
     /** Passed through by another shield it would cost as much of the ceiling and be kept by nobody. */
     @Test
     void aReadForWhichTheCeilingHasNoRoomIsRefusedAtOnce() {
-        ask(Match.CACHED);
+        ask(Route.CACHED);
         back(
                 0,
-                Reply.of(filled(Answer.REFUSED, 503, OriginDispatch.RATE_SPENT, 1000, null)
-                        .as(Msg.Filled.class)
+                Reply.of(filled(ClientResponse.REFUSED, 503, OriginDispatch.RATE_EXHAUSTED, 1000, null)
+                        .as(ForwardResponse.class)
                         .orElseThrow()
-                        .withUnused(1)));
+                        .withUnusedAttempts(1)));
         assertEquals(1, asked.size(), "no other shield is asked");
         assertEquals(503, status());
     }
--- a/data/src/test/java/org/rowanvalve/data/EdgeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.edge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,63 +9,69 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Condition;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Member;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Match;
-import org.rowanvalve.control.Origin;
-import org.rowanvalve.control.Plan;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.Member;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.data.origin.AnsweringOrigins;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.data.settings.NodeSettings;
 
 /** A request's way through an edge, on routes whose uncached requests may go through any shield. */
 class EdgeTest extends EdgeFixture {
     @Test
     void whatNeedsNoRightGoesThroughTheNearestShield() {
-        ask(Match.STATUS);
+        ask(Route.STATUS);
         assertEquals(N1, at(0).to());
-        assertTrue(at(0).fill().pass());
-        assertFalse(at(0).fill().extra());
+        assertTrue(at(0).fill().passThrough());
+        assertFalse(at(0).fill().retry());
         assertEquals(-1, at(0).fill().shard());
-        assertNull(at(0).fill().mark());
-        assertTrue(at(0).fill().span() < 1200 && at(0).fill().span() > 1000);
+        assertNull(at(0).fill().versions());
+        assertTrue(at(0).fill().timeoutMs() < 1200 && at(0).fill().timeoutMs() > 1000);
         back(0, good("x"));
         assertEquals(200, status());
     }
 
     @Test
     void aShieldThatRefusedHasSentNothingSoTheNextIsNoExtraTry() {
-        ask(Match.SINGLE);
+        ask(Route.AT_MOST_ONCE);
         back(0, refused(500));
         back(1, unsent());
         assertEquals(N2, at(1).to());
-        assertFalse(at(1).fill().extra() || at(2).fill().extra());
+        assertFalse(at(1).fill().retry() || at(2).fill().retry());
         back(2, refused(500));
         assertEquals(503, status());
-        assertEquals(Answer.REFUSED, said.get(0).fate());
+        assertEquals(ClientResponse.REFUSED, said.get(0).fate());
     }
 
     @Test
     void aReadIsAskedElsewhereAsAnExtraTryAnythingElseIsNot() {
-        ask(Match.STATUS);
+        ask(Route.STATUS);
         back(0, silent());
-        assertTrue(at(1).fill().extra());
+        assertTrue(at(1).fill().retry());
         back(1, good("x"));
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Match.SINGLE);
+        ask(Route.AT_MOST_ONCE);
         back(0, silent());
         loop.run(1300);
         assertEquals(1, asked.size());
         assertEquals(504, status());
-        assertEquals(Answer.UNKNOWN, said.get(0).fate());
+        assertEquals(ClientResponse.UNKNOWN, said.get(0).fate());
     }
 
     @Test
     void aShieldThatFallsSilentIsNotWaitedForByReads() {
-        ask(Match.STATUS);
+        ask(Route.STATUS);
         loop.run(250);
         assertEquals(1, asked.size(), "it is heard from");
         silence.put(N1, 1000L);
@@ -77,14 +83,14 @@
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Match.SINGLE);
+        ask(Route.AT_MOST_ONCE);
         loop.run(900);
         assertEquals(1, asked.size(), "at most once");
     }
 
     @Test
     void aKeyedRequestIsAskedAgainUnderItsKey() {
-        ask(Match.ONCE);
+        ask(Route.KEYED);
         assertEquals(0, at(0).fill().shard());
         back(0, silent());
         loop.run(70);
@@ -97,7 +103,7 @@
 
     @Test
     void aRefusalPromisesNothingOnceAWayMayHaveSentIt() {
-        ask(Match.ONCE);
+        ask(Route.KEYED);
         back(0, silent());
         loop.run(70);
         for (int i = 1; i < 20 && said.isEmpty(); i++) {
@@ -105,33 +111,33 @@
             loop.run(300);
         }
         assertEquals(504, status());
-        assertEquals(Answer.UNKNOWN, said.get(0).fate());
+        assertEquals(ClientResponse.UNKNOWN, said.get(0).fate());
     }
 
     @Test
     void aRefusalStandsWhereNothingWasEverSent() {
-        ask(Match.ONCE);
+        ask(Route.KEYED);
         for (int i = 0; i < 20 && said.isEmpty(); i++) {
             back(i, i % 2 == 0 ? unsent() : refused(500));
             loop.run(300);
         }
         assertEquals(503, status());
-        assertEquals(Answer.REFUSED, said.get(0).fate());
-        assertTrue(said.get(0).retryMs() > 0);
+        assertEquals(ClientResponse.REFUSED, said.get(0).fate());
+        assertTrue(said.get(0).retryAfterMs() > 0);
         assertTrue(heard < 10_000 + 1200, "before the caller gives up");
     }
 
     @Test
     void whatTheHolderDoesNotKnowIsUnknown() {
-        ask(Match.ONCE);
-        back(0, filled(Answer.UNKNOWN, 502, "lost", 0, null));
+        ask(Route.KEYED);
+        back(0, filled(ClientResponse.UNKNOWN, 502, "lost", 0, null));
         assertEquals(504, status());
     }
 
     @Test
     void anEarlierHoldersAnswerIsNoAnswer() {
-        ask(Match.ONCE);
-        put(ItemId.PLAN, 2, new Plan(2, 1, List.of(new Plan.Part("n2", 1, 2))));
+        ask(Route.KEYED);
+        put(ItemId.PLAN, 2, new PlacementPlan(2, 1, List.of(new PlacementPlan.Assignment("n2", 1, 2))));
         back(0, silent());
         loop.run(70);
         assertEquals(N2, at(1).to());
@@ -142,15 +148,16 @@
     @Test
     void withAStaleFrameOnlyWhatNeedsNoRightGoesOnAndOnlyWhereNobodyCanBeHeard() {
         fresh = false;
-        ask(Match.STATUS);
-        ask(Match.CACHED);
-        assertEquals(List.of(503, 503), said.stream().map(Answer::status).toList());
+        ask(Route.STATUS);
+        ask(Route.CACHED);
+        assertEquals(
+                List.of(503, 503), said.stream().map(ClientResponse::status).toList());
         assertEquals(0, asked.size());
         alone = true;
-        ask(Match.STATUS);
-        ask(Match.CACHED);
-        assertTrue(at(0).fill().pass() && at(1).fill().pass());
-        edge.take(
+        ask(Route.STATUS);
+        ask(Route.CACHED);
+        assertTrue(at(0).fill().passThrough() && at(1).fill().passThrough());
+        edge.handle(
                 new ClientRequest("GET", "h", "/nowhere/1", null, new byte[0], null, "id", 1200, null, Map.of()),
                 said::add);
         assertEquals(503, said.get(2).status(), "no 404 without a confirmed frame");
@@ -159,35 +166,39 @@
     /** Once only needs a holder; everything else an origin takes from the edge itself, as long as no shield is heard of. */
     @Test
     void anEdgeThatHearsNoShieldSendsReadsItself() {
-        final Yes port = new Yes(loop, new ArrayList<>());
-        final List<Port.Send> sent = port.sent();
-        final Member self = new Member(NodeId.of("e"), Role.EDGE, "z", "127.0.0.1", 1, "b", Condition.READY, "1");
-        direct = new Sender(
-                Setup.of(self).build(),
+        final AnsweringOrigins port = new AnsweringOrigins(loop, new ArrayList<>());
+        final List<OriginTransport.OutboundRequest> sent = port.sent();
+        final Member self = new Member(NodeId.of("e"), Role.EDGE, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1");
+        direct = new OriginDispatcher(
+                NodeSettings.builderFor(self).build(),
                 loop,
-                net,
+                transport,
                 port,
-                view,
+                configuration,
                 null,
-                new Sender.Ties(() -> fresh, () -> alone, List::of, () -> 2),
+                new OriginDispatcher.Surroundings(() -> fresh, () -> alone, List::of, () -> 2),
                 journal);
-        put(new ItemId(Kind.ORIGIN, "o"), 1, new Origin("s", "10.0.0.1", 80, "o", "open", 0, 0, false, 1, "z", 4, 0));
-        ask(Match.STATUS);
+        put(
+                new ItemId(ItemKind.ORIGIN, "o"),
+                1,
+                new Origin("s", "10.0.0.1", 80, "o", "open", 0, 0, false, 1, "z", 4, 0));
+        ask(Route.STATUS);
         loop.run(5);
         assertEquals(1, asked.size(), "a shield is there");
         asked.clear();
         near.clear();
-        ask(Match.STATUS);
-        ask(Match.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
+        ask(Route.STATUS);
+        ask(Route.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
         loop.run(5);
-        assertEquals(List.of(200, 206), said.stream().map(Answer::status).toList());
-        assertEquals(Map.of("x", "y"), said.get(0).heads());
+        assertEquals(
+                List.of(200, 206), said.stream().map(ClientResponse::status).toList());
+        assertEquals(Map.of("x", "y"), said.get(0).headers());
         assertEquals(
                 List.of("/status/1", "/cached/1"),
-                sent.stream().map(Port.Send::path).toList());
-        assertEquals(Map.of(), sent.get(1).heads());
-        assertEquals("id", sent.get(0).id());
-        ask(Match.ONCE);
+                sent.stream().map(OriginTransport.OutboundRequest::path).toList());
+        assertEquals(Map.of(), sent.get(1).headers());
+        assertEquals("id", sent.get(0).requestId());
+        ask(Route.KEYED);
         loop.run(1200);
         assertEquals(2, sent.size());
     }
@@ -196,11 +207,12 @@
     void whereNoShieldIsHeardOfTheRefusalComesAtOnce() {
         near.clear();
         final long begun = loop.now();
-        ask(Match.STATUS);
-        ask(Match.CACHED);
-        assertEquals(List.of(503, 503), said.stream().map(Answer::status).toList());
+        ask(Route.STATUS);
+        ask(Route.CACHED);
+        assertEquals(
+                List.of(503, 503), said.stream().map(ClientResponse::status).toList());
         assertTrue(loop.now() - begun < 10);
-        ask(Match.ONCE);
+        ask(Route.KEYED);
         loop.run(1200);
         assertEquals(503, said.get(2).status());
     }
--- a/data/src/test/java/org/rowanvalve/data/WayTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/ShardRoutingTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.data;
+package org.rowanvalve.data.edge;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,14 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.control.ConfiguredRoute;
-import org.rowanvalve.control.Match;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.Route;
+import org.rowanvalve.data.routing.ShardRouting;
 
-class WayTest {
+class ShardRoutingTest {
     private static ConfiguredRoute row(final String host, final String mode) {
         return new ConfiguredRoute(
                 "r",
-                new Match("/", "s", mode, 1000, true, "", host, List.of(), true, 0, 0, 0, 3, ""),
+                new Route("/", "s", mode, 1000, true, "", host, List.of(), true, 0, 0, 0, 3, ""),
                 null,
                 Optional.empty());
     }
@@ -25,13 +26,13 @@
         final Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 500; i++) {
             for (int place = 0; place < 3; place++) {
-                final int shard = ShardRouting.shard(row("h", Match.CACHED), "/" + i, null, 32, 3, place);
+                final int shard = ShardRouting.shardOf(row("h", Route.CACHED), "/" + i, null, 32, 3, place);
                 assertEquals(place, shard % 3);
                 assertTrue(shard < 32);
                 seen.add(shard);
                 assertEquals(
-                        ShardRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, 0),
-                        ShardRouting.shard(row("h", Match.ONCE), "/x", "k" + i, 32, 3, place));
+                        ShardRouting.shardOf(row("h", Route.KEYED), "/x", "k" + i, 32, 3, 0),
+                        ShardRouting.shardOf(row("h", Route.KEYED), "/x", "k" + i, 32, 3, place));
             }
         }
         assertEquals(30, seen.size(), "the shards of each place");
@@ -40,10 +41,11 @@
     @Test
     void oneKeyIsOneOperationWhateverItsPathAndRoute() {
         assertEquals(
-                ShardRouting.slot(row("h", Match.ONCE), "/x", "k"), ShardRouting.slot(row("h", Match.ONCE), "/y", "k"));
-        assertTrue(!ShardRouting.slot(row("h", Match.ONCE), "/x", "k")
-                .equals(ShardRouting.slot(row("i", Match.ONCE), "/x", "k")));
-        assertTrue(!ShardRouting.slot(row("h", Match.CACHED), "/x", "k")
-                .equals(ShardRouting.slot(row("h", Match.CACHED), "/y", "k")));
+                ShardRouting.cacheKey(row("h", Route.KEYED), "/x", "k"),
+                ShardRouting.cacheKey(row("h", Route.KEYED), "/y", "k"));
+        assertTrue(!ShardRouting.cacheKey(row("h", Route.KEYED), "/x", "k")
+                .equals(ShardRouting.cacheKey(row("i", Route.KEYED), "/x", "k")));
+        assertTrue(!ShardRouting.cacheKey(row("h", Route.CACHED), "/x", "k")
+                .equals(ShardRouting.cacheKey(row("h", Route.CACHED), "/y", "k")));
     }
 }
