--- a/server/src/test/java/org/rowanvalve/server/SqlDiskTest.java
+++ b/server/src/test/java/org/rowanvalve/server/storage/SqliteStorageTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.server;
+package org.rowanvalve.server.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -16,20 +16,21 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.rowanvalve.common.DiskTrouble;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.server.thread.CoreEventLoop;
 
-class SqlDiskTest {
+class SqliteStorageTest {
     @TempDir
     private Path dir;
 
-    private final CoreLoop loop = new CoreLoop();
+    private final CoreEventLoop loop = new CoreEventLoop();
 
     @AfterEach
     void end() {
         loop.stop();
     }
 
-    private static boolean save(final SqlDisk d, final Map<String, byte[]> rows) throws Exception {
+    private static boolean save(final SqliteStorage d, final Map<String, byte[]> rows) throws Exception {
         final CompletableFuture<Boolean> f = new CompletableFuture<>();
         d.save(rows, f::complete);
         return f.get(20, TimeUnit.SECONDS);
@@ -38,7 +39,7 @@
     @Test
     void whatWasSaidToBeSyncedIsReadBackAndNoSharedMemoryFileIsMade() throws Exception {
         loop.start();
-        final SqlDisk d = new SqlDisk(loop, dir.resolve("data"));
+        final SqliteStorage d = new SqliteStorage(loop, dir.resolve("data"));
         d.open();
         assertEquals(Map.of(), d.load());
         assertTrue(save(d, Map.of("a", new byte[] {1}, "b", new byte[] {2})));
@@ -51,7 +52,7 @@
         try (var all = Files.list(dir.resolve("data"))) {
             assertEquals(
                     java.util.Set.of("items.db", "items.db-wal"),
-                    all.map(p -> p.getFileName().toString()).collect(java.util.stream.Collectors.toSet()));
+                    all.map(path -> path.getFileName().toString()).collect(java.util.stream.Collectors.toSet()));
         }
         d.stop();
     }
@@ -63,9 +64,10 @@
                 System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
                 FullDisk.class.getName()));
         words.addAll(List.of(args));
-        final Process p = new ProcessBuilder(words).redirectErrorStream(true).start();
-        final String text = new String(p.getInputStream().readAllBytes());
-        assertEquals(0, p.waitFor(), text);
+        final Process process =
+                new ProcessBuilder(words).redirectErrorStream(true).start();
+        final String text = new String(process.getInputStream().readAllBytes());
+        assertEquals(0, process.waitFor(), text);
         return text.lines()
                 .filter(l -> l.matches("(before|full|after|again|rows) .*"))
                 .toArray(String[]::new);
@@ -91,7 +93,7 @@
     @Test
     void anUnusableFolderIsToldInOneLine() throws Exception {
         final Path file = Files.createFile(dir.resolve("file"));
-        final DiskTrouble t = assertThrows(DiskTrouble.class, () -> new SqlDisk(loop, file).open());
+        final StorageException t = assertThrows(StorageException.class, () -> new SqliteStorage(loop, file).open());
         assertTrue(t.getMessage().startsWith("data folder " + file + " is not usable"));
     }
 }
--- a/server/src/test/java/org/rowanvalve/server/GuardTest.java
+++ b/server/src/test/java/org/rowanvalve/server/thread/ThreadGuardTest.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.server;
+package org.rowanvalve.server.thread;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,21 +17,26 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.AckResponse;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.message.VotersRequest;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.server.net.TcpTransport;
+import org.rowanvalve.server.net.TrafficMeter;
+import org.rowanvalve.server.storage.SqliteStorage;
 
 /** What one job throws ends neither its thread nor the process. */
-class GuardTest {
+class ThreadGuardTest {
     private static final NodeId ONE = NodeId.of("one");
     private static final NodeId TWO = NodeId.of("two");
 
     @TempDir
     private Path dir;
 
-    private final CoreLoop loop = new CoreLoop();
-    private final Journal journal = new Journal(loop, 100);
+    private final CoreEventLoop loop = new CoreEventLoop();
+    private final EventJournal journal = new EventJournal(loop, 100);
 
     @BeforeEach
     void begin() {
@@ -61,49 +66,50 @@
                     throw new AssertionError("a broken rule");
                 });
         for (final Runnable job : jobs) {
-            loop.post(job);
-            loop.after(0, job);
+            loop.execute(job);
+            loop.schedule(0, job);
             final CompletableFuture<Boolean> next = new CompletableFuture<>();
-            loop.post(() -> next.complete(true));
+            loop.execute(() -> next.complete(true));
             assertTrue(next.get(20, TimeUnit.SECONDS));
         }
     }
 
     /** Throws at the first frame that comes in. */
-    private static final class Failing implements Meter {
+    private static final class Failing implements TrafficMeter {
         private final AtomicInteger frames = new AtomicInteger();
 
         @Override
-        public void out(final Msg msg, final int bytes) {}
+        public void onSent(final Message msg, final int bytes) {}
 
         @Override
-        public void in(final Msg msg, final int bytes) {
+        public void onReceived(final Message msg, final int bytes) {
             if (frames.incrementAndGet() == 1) {
                 throw new IllegalStateException("a defect");
             }
         }
     }
 
-    private TcpNet bound(final NodeId id, final Map<NodeId, InetSocketAddress> peers, final Meter meter)
+    private TcpTransport bound(final NodeId id, final Map<NodeId, InetSocketAddress> peers, final TrafficMeter meter)
             throws IOException {
-        final TcpNet net = new TcpNet(id, loop, journal, peers, Map.of(), meter);
-        net.bind(new InetSocketAddress("127.0.0.1", 0), (from, msg, back) -> back.accept(new Msg.Ok()));
+        final TcpTransport net = new TcpTransport(id, loop, journal, peers, Map.of(), meter);
+        net.bind(new InetSocketAddress("127.0.0.1", 0), (from, msg, back) -> back.accept(new AckResponse()));
         return net;
     }
 
-    private static Reply ask(final TcpNet net) throws Exception {
+    private static Reply ask(final TcpTransport net) throws Exception {
         final CompletableFuture<Reply> reply = new CompletableFuture<>();
-        net.ask(TWO, new Msg.Seats(), 10_000, reply::complete);
+        net.request(TWO, new VotersRequest(), 10_000, reply::complete);
         return reply.get(20, TimeUnit.SECONDS);
     }
 
     @Test
     void theWireGoesOnAndOnlyTheCircuitOfTheDefectIsClosed() throws Exception {
         final Failing meter = new Failing();
-        final TcpNet two = bound(TWO, Map.of(), meter);
-        final TcpNet one = bound(ONE, Map.of(TWO, new InetSocketAddress("127.0.0.1", two.bound())), Meter.NONE);
-        assertTrue(ask(one).as(Msg.Ok.class).isEmpty(), "its circuit was closed");
-        assertTrue(ask(one).as(Msg.Ok.class).isPresent());
+        final TcpTransport two = bound(TWO, Map.of(), meter);
+        final TcpTransport one =
+                bound(ONE, Map.of(TWO, new InetSocketAddress("127.0.0.1", two.boundPort())), TrafficMeter.NONE);
+        assertTrue(ask(one).as(AckResponse.class).isEmpty(), "its circuit was closed");
+        assertTrue(ask(one).as(AckResponse.class).isPresent());
         assertEquals(2, meter.frames.get());
         one.stop();
         two.stop();
@@ -111,7 +117,7 @@
 
     @Test
     void theDiskGoesOnAfterRowsThatCannotBeStored() throws Exception {
-        final SqlDisk disk = new SqlDisk(loop, dir.resolve("data"));
+        final SqliteStorage disk = new SqliteStorage(loop, dir.resolve("data"));
         disk.open();
         final Map<String, byte[]> nameless = new HashMap<>();
         nameless.put(null, new byte[1]);
@@ -121,7 +127,7 @@
         disk.stop();
     }
 
-    private static boolean save(final SqlDisk disk, final Map<String, byte[]> rows) throws Exception {
+    private static boolean save(final SqliteStorage disk, final Map<String, byte[]> rows) throws Exception {
         final CompletableFuture<Boolean> done = new CompletableFuture<>();
         disk.save(rows, done::complete);
         return done.get(20, TimeUnit.SECONDS);
--- a/testkit/src/main/java/org/rowanvalve/testkit/Rig.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -10,15 +10,22 @@
 import joptsimple.OptionException;
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.testkit.fleet.Drill;
+import org.rowanvalve.common.model.ValidationError;
 import org.rowanvalve.testkit.fleet.Fleet;
+import org.rowanvalve.testkit.fleet.FleetScenarioRunner;
 import org.rowanvalve.testkit.judge.Judge;
-import org.rowanvalve.testkit.scale.Scale;
-import org.rowanvalve.testkit.sim.ScriptRunner;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.origin.StandInOrigin;
+import org.rowanvalve.testkit.report.RunStatistics;
+import org.rowanvalve.testkit.scale.ScaleRun;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.scenario.Scenario;
+import org.rowanvalve.testkit.scenario.ScenarioGenerator;
+import org.rowanvalve.testkit.sim.ScenarioRunner;
 
 /** The rig's command line: 0 all rules kept, 1 a rule broken or a trouble missed, 2 usage. */
-public final class Rig {
+public final class TestKit {
     private static final String USAGE = """
         rwrig COMMAND
           sim WHAT         WHAT: kilimanjaro, coastline, either with -shields, coastline-six (a day from the seed), or a scenario file
@@ -29,10 +36,10 @@
           origin NAME SERVICE KIND IP PORT LOG NODE,NODE...   one stand-in origin
         """;
 
-    private Rig() {}
+    private TestKit() {}
 
     public static void main(final String[] args) throws Exception {
-        org.rowanvalve.server.Main.quiet();
+        org.rowanvalve.server.process.Main.quiet();
         final OptionParser p = new OptionParser();
         p.accepts("seeds", "one seed or a range: 1..20").withRequiredArg().defaultsTo("1");
         p.accepts("troubles", "how many troubles a day from a seed has")
@@ -54,27 +61,27 @@
                 .defaultsTo(512);
         p.accepts("figures", "print availability and spread");
         p.accepts("help", "print this and end");
-        final OptionSet set;
+        final OptionSet options;
         try {
-            set = p.parse(args);
+            options = p.parse(args);
         } catch (final OptionException e) {
             System.err.println("rwrig: " + e.getMessage());
             System.exit(2);
             return;
         }
         final List<String> w =
-                set.nonOptionArguments().stream().map(String::valueOf).toList();
-        if (set.has("help") || w.size() < 2) {
+                options.nonOptionArguments().stream().map(String::valueOf).toList();
+        if (options.has("help") || w.size() < 2) {
             System.out.println(USAGE);
             p.printHelpOn(System.out);
-            System.exit(set.has("help") ? 0 : 2);
+            System.exit(options.has("help") ? 0 : 2);
         }
         switch (w.get(0)) {
-            case "sim" -> System.exit(sim(w.get(1), set));
-            case "pairs" -> System.exit(pairs(w.get(1), set));
-            case "fleet" -> System.exit(fleet(w.get(1), set));
+            case "sim" -> System.exit(sim(w.get(1), options));
+            case "pairs" -> System.exit(pairs(w.get(1), options));
+            case "fleet" -> System.exit(fleet(w.get(1), options));
             case "judge" -> System.exit(judge(w.subList(1, w.size())));
-            case "scale" -> System.exit(scale(w.get(1), set));
+            case "scale" -> System.exit(scale(w.get(1), options));
             case "origin" -> origin(w.subList(1, w.size()));
             default -> {
                 System.err.println(USAGE);
@@ -83,32 +90,33 @@
         }
     }
 
-    private static Script script(final String what, final long seed, final OptionSet set, final List<Finding> faults)
+    private static Scenario script(
+            final String what, final long seed, final OptionSet options, final List<ValidationError> faults)
             throws IOException {
-        if (Place.NAMES.contains(what)) {
-            final int n = (Integer) set.valueOf("troubles");
+        if (Deployment.NAMES.contains(what)) {
+            final int n = (Integer) options.valueOf("troubles");
             return n == 0
-                    ? new Script("quiet", Place.of(what), (Long) set.valueOf("seconds"), List.of())
-                    : DayDraw.day(Place.of(what), seed, n, 4000);
+                    ? new Scenario("quiet", Deployment.of(what), (Long) options.valueOf("seconds"), List.of())
+                    : ScenarioGenerator.day(Deployment.of(what), seed, n, 4000);
         }
         if (!Files.isReadable(Path.of(what))) {
-            faults.add(new Finding(what, "cannot be read"));
+            faults.add(new ValidationError(what, "cannot be read"));
             return null;
         }
-        return Script.read(Files.readAllBytes(Path.of(what)), faults);
+        return Scenario.read(Files.readAllBytes(Path.of(what)), faults);
     }
 
-    private static boolean bad(final List<Finding> faults) {
-        faults.forEach(f -> System.err.println("rwrig: " + f));
+    private static boolean bad(final List<ValidationError> faults) {
+        faults.forEach(error -> System.err.println("rwrig: " + error));
         return !faults.isEmpty();
     }
 
-    private static int sim(final String what, final OptionSet set) throws Exception {
-        final String[] ends = ((String) set.valueOf("seeds")).split("\\.\\.");
+    private static int sim(final String what, final OptionSet options) throws Exception {
+        final String[] ends = ((String) options.valueOf("seeds")).split("\\.\\.");
         final long from = Long.parseLong(ends[0]);
         final long to = Long.parseLong(ends[ends.length - 1]);
-        final List<Finding> faults = new ArrayList<>();
-        script(what, from, set, faults);
+        final List<ValidationError> faults = new ArrayList<>();
+        script(what, from, options, faults);
         if (bad(faults)) {
             return 2;
         }
@@ -116,8 +124,9 @@
                 .parallel()
                 .mapToInt(seed -> {
                     try {
-                        final ScriptRunner play = new ScriptRunner(script(what, seed, set, new ArrayList<>()), seed);
-                        return show("seed " + seed, play.run(), play.missed(), set);
+                        final ScenarioRunner play =
+                                new ScenarioRunner(script(what, seed, options, new ArrayList<>()), seed);
+                        return show("seed " + seed, play.run(), play.missed(), options);
                     } catch (final IOException e) {
                         return 1;
                     }
@@ -126,90 +135,97 @@
                 .orElse(0);
     }
 
-    private static int pairs(final String place, final OptionSet set) {
-        if (!Place.NAMES.contains(place)) {
+    private static int pairs(final String place, final OptionSet options) {
+        if (!Deployment.NAMES.contains(place)) {
             System.err.println("rwrig: argument 2: no deployment is named " + place);
             return 2;
         }
-        final String[] ends = ((String) set.valueOf("seeds")).split("\\.\\.");
+        final String[] ends = ((String) options.valueOf("seeds")).split("\\.\\.");
         final Map<Integer, java.util.concurrent.atomic.AtomicLong> checked =
                 new java.util.concurrent.ConcurrentSkipListMap<>();
         final long bad = LongStream.rangeClosed(Long.parseLong(ends[0]), Long.parseLong(ends[ends.length - 1]))
                 .boxed()
-                .flatMap(seed -> DayDraw.pairs(Place.of(place)).stream().map(two -> Map.entry(seed, two)))
+                .flatMap(seed ->
+                        ScenarioGenerator.pairs(Deployment.of(place)).stream().map(two -> Map.entry(seed, two)))
                 .toList()
                 .parallelStream()
-                .filter(e -> {
-                    final ScriptRunner play =
-                            new ScriptRunner(DayDraw.pair(Place.of(place), e.getValue(), e.getKey()), e.getKey());
-                    final Judge j = new Judge(play.run());
-                    j.verdicts()
-                            .forEach(v -> checked.computeIfAbsent(
-                                            v.rule(), k -> new java.util.concurrent.atomic.AtomicLong())
-                                    .addAndGet(v.checked()));
-                    final boolean ok = j.clean() && play.missed().isEmpty();
+                .filter(entry -> {
+                    final ScenarioRunner play = new ScenarioRunner(
+                            ScenarioGenerator.pair(Deployment.of(place), entry.getValue(), entry.getKey()),
+                            entry.getKey());
+                    final Judge judge = new Judge(play.run());
+                    judge.verdicts()
+                            .forEach(verdict -> checked.computeIfAbsent(
+                                            verdict.rule(), k -> new java.util.concurrent.atomic.AtomicLong())
+                                    .addAndGet(verdict.checked()));
+                    final boolean ok = judge.clean() && play.missed().isEmpty();
                     if (!ok) {
-                        System.out.print(
-                                e.getValue() + " seed " + e.getKey() + " BROKEN " + play.missed() + "\n" + j.text(2));
+                        System.out.print(entry.getValue() + " seed " + entry.getKey() + " BROKEN " + play.missed()
+                                + "\n" + judge.text(2));
                     }
                     return !ok;
                 })
                 .count();
         System.out.println(place + ": " + bad + " not clean of "
-                + DayDraw.pairs(Place.of(place)).size() + " pairs a seed; checked by rule " + checked);
+                + ScenarioGenerator.pairs(Deployment.of(place)).size() + " pairs a seed; checked by rule " + checked);
         return bad == 0 ? 0 : 1;
     }
 
     private static int show(
-            final String title, final List<Map<String, Object>> rows, final List<String> missed, final OptionSet set) {
-        final Judge j = new Judge(rows);
-        final boolean ok = j.clean() && missed.isEmpty();
-        final StringBuilder s = new StringBuilder(title + (ok ? " clean" : " BROKEN")
+            final String title,
+            final List<Map<String, Object>> rows,
+            final List<String> missed,
+            final OptionSet options) {
+        final Judge judge = new Judge(rows);
+        final boolean ok = judge.clean() && missed.isEmpty();
+        final StringBuilder text = new StringBuilder(title + (ok ? " clean" : " BROKEN")
                 + (missed.isEmpty() ? "" : ", not brought about: " + missed) + "\n");
-        s.append(j.text(5));
-        if (set.has("figures")) {
-            s.append(new Figures(rows).text());
+        text.append(judge.text(5));
+        if (options.has("figures")) {
+            text.append(new RunStatistics(rows).text());
         }
-        System.out.print(s);
+        System.out.print(text);
         return ok ? 0 : 1;
     }
 
-    private static int fleet(final String what, final OptionSet set) throws Exception {
-        final List<Finding> faults = new ArrayList<>();
-        final long seed = Long.parseLong(((String) set.valueOf("seeds")).split("\\.\\.")[0]);
-        final Script s = script(what, seed, set, faults);
-        if (s != null && s.place().shieldRun()) {
-            faults.add(new Finding(what, "this place is played in the simulator only"));
-        } else if (s != null) {
-            faults.addAll(Drill.check(s));
+    private static int fleet(final String what, final OptionSet options) throws Exception {
+        final List<ValidationError> faults = new ArrayList<>();
+        final long seed = Long.parseLong(((String) options.valueOf("seeds")).split("\\.\\.")[0]);
+        final Scenario scenario = script(what, seed, options, faults);
+        if (scenario != null && scenario.place().shieldRun()) {
+            faults.add(new ValidationError(what, "this place is played in the simulator only"));
+        } else if (scenario != null) {
+            faults.addAll(FleetScenarioRunner.check(scenario));
         }
         if (bad(faults)) {
             return 2;
         }
-        final Path dir = set.has("dir") ? Path.of((String) set.valueOf("dir")) : Files.createTempDirectory("rwrig");
+        final Path dir =
+                options.has("dir") ? Path.of((String) options.valueOf("dir")) : Files.createTempDirectory("rwrig");
         final Path bin = Path.of(System.getProperty("rowanvalve.bin", "bin")).toAbsolutePath();
         final Path from =
-                set.has("from") ? Path.of((String) set.valueOf("from")).toAbsolutePath() : bin;
+                options.has("from") ? Path.of((String) options.valueOf("from")).toAbsolutePath() : bin;
         if (!Files.isExecutable(from.resolve("rwstore"))) {
             System.err.println("rwrig: --from: no programs in " + from);
             return 2;
         }
         System.out.println("logs in " + dir);
-        try (Fleet fleet = new Fleet(s.place(), dir, bin, from, seed).open()) {
-            final Drill drill = new Drill(fleet, s);
-            return show(s.name(), drill.run(), drill.missed(), set);
+        try (Fleet fleet = new Fleet(scenario.place(), dir, bin, from, seed).open()) {
+            final FleetScenarioRunner drill = new FleetScenarioRunner(fleet, scenario);
+            return show(scenario.name(), drill.run(), drill.missed(), options);
         }
     }
 
-    private static int scale(final String what, final OptionSet set) throws Exception {
-        final List<Integer> sizes = Scale.sizes(what);
+    private static int scale(final String what, final OptionSet options) throws Exception {
+        final List<Integer> sizes = ScaleRun.sizes(what);
         if (sizes.isEmpty()) {
             System.err.println("rwrig: argument 2: sizes of 12 nodes and more are wanted, as 50,150: " + what);
             return 2;
         }
-        final Path dir = set.has("dir") ? Path.of((String) set.valueOf("dir")) : Path.of("scale");
+        final Path dir = options.has("dir") ? Path.of((String) options.valueOf("dir")) : Path.of("scale");
         final Path bin = Path.of(System.getProperty("rowanvalve.bin", "bin")).toAbsolutePath();
-        final Scale scale = new Scale(sizes, (Integer) set.valueOf("shards"), (Long) set.valueOf("seconds"), dir, bin);
+        final ScaleRun scale =
+                new ScaleRun(sizes, (Integer) options.valueOf("shards"), (Long) options.valueOf("seconds"), dir, bin);
         final List<String> lacks = scale.lacks();
         lacks.forEach(l -> System.err.println("rwrig: " + l));
         return lacks.isEmpty() ? scale.run() : 2;
@@ -218,21 +234,21 @@
     private static int judge(final List<String> files) throws IOException {
         final List<Map<String, Object>> rows = new ArrayList<>();
         for (final String f : files) {
-            rows.addAll(Log.read(Path.of(f)));
+            rows.addAll(RunLog.read(Path.of(f)));
         }
-        final Judge j = new Judge(rows);
-        System.out.print(j.text(20));
-        return j.clean() ? 0 : 1;
+        final Judge judge = new Judge(rows);
+        System.out.print(judge.text(20));
+        return judge.clean() ? 0 : 1;
     }
 
     private static void origin(final List<String> a) throws Exception {
-        final Originator o = new Originator(
+        final StandInOrigin o = new StandInOrigin(
                 a.get(0),
-                new Stock(a.get(1)),
+                new StandInBackend(a.get(1)),
                 a.get(2),
                 a.get(3),
                 List.of(a.get(6).split(",")),
-                new Log(Path.of(a.get(5))));
+                new RunLog(Path.of(a.get(5))));
         o.start(Integer.parseInt(a.get(4)));
         Runtime.getRuntime().addShutdownHook(new Thread(() -> o.leave(5)));
         System.out.println("origin " + o.name() + " on port " + o.port());
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
@@ -13,55 +13,60 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Originator;
-import org.rowanvalve.testkit.Place;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.origin.StandInOrigin;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** A deployment's processes on one machine, with relays for links. Nothing is left behind when it closes. */
 public final class Fleet implements AutoCloseable {
-    private final Place place;
+    private final Deployment deployment;
     private final Path dir;
     private final Path bin;
-    private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final Map<String, Originator> origins = new TreeMap<>();
-    private final Map<String, Stock> stocks = new TreeMap<>();
-    private final Relay relay;
-    private final Log log;
+    private final Map<String, FleetMachine> machines = new LinkedHashMap<>();
+    private final Map<String, StandInOrigin> origins = new TreeMap<>();
+    private final Map<String, StandInBackend> stocks = new TreeMap<>();
+    private final LinkRelay relay;
+    private final RunLog log;
     private final LoadGenerator mob;
-    private final Desk desk;
+    private final FleetOperator desk;
     private final Thread hook = new Thread(this::reap, "reap");
 
-    public Fleet(final Place place, final Path dir, final Path bin, final Path from, final long seed)
+    public Fleet(final Deployment deployment, final Path dir, final Path bin, final Path from, final long seed)
             throws IOException {
         this.bin = bin;
-        this.place = place;
+        this.deployment = deployment;
         this.dir = dir;
         Files.createDirectories(dir);
-        log = new Log(dir.resolve("rig.log"));
-        relay = new Relay(link -> place.apart(link.split(">")[0], link.split(">")[1]) ? place.regionMs() : 0);
+        log = new RunLog(dir.resolve("rig.log"));
+        relay = new LinkRelay(
+                link -> deployment.apart(link.split(">")[0], link.split(">")[1]) ? deployment.regionMs() : 0);
         final int net = 10 + (int) (ProcessHandle.current().pid() % 200);
         int at = 0;
-        for (final String name : place.machines()) {
+        for (final String name : deployment.machines()) {
             final String host = "127." + net + ".0." + ++at;
-            machines.put(name, new Machine(name, host, free(host), dir, from));
+            machines.put(name, new FleetMachine(name, host, free(host), dir, from));
         }
-        for (final Machine m : machines.values()) {
-            m.flags(flags(m));
+        for (final FleetMachine machine : machines.values()) {
+            machine.flags(flags(machine));
         }
-        final List<String> sites = machines.values().stream().map(Machine::http).toList();
-        for (final Place.Kin k : place.kin()) {
-            final Stock stock = new Stock(k.service());
-            stocks.put(k.service(), stock);
+        final List<String> sites =
+                machines.values().stream().map(FleetMachine::http).toList();
+        for (final Deployment.Kin k : deployment.kin()) {
+            final StandInBackend backend = new StandInBackend(k.service());
+            stocks.put(k.service(), backend);
             for (int i = 1; i <= k.origins(); i++) {
-                final Originator o = new Originator(
-                        k.service() + i, stock, k.kind(), "127." + net + ".1." + (origins.size() + 1), sites, log);
+                final StandInOrigin o = new StandInOrigin(
+                        k.service() + i, backend, k.kind(), "127." + net + ".1." + (origins.size() + 1), sites, log);
                 origins.put(o.name(), o);
             }
         }
         mob = new LoadGenerator(
-                place, machines.values().stream().filter(Machine::edge).toList(), log, seed);
-        desk = new Desk(place, List.copyOf(machines.values()), stocks, log, seed + 1);
+                deployment,
+                machines.values().stream().filter(FleetMachine::edge).toList(),
+                log,
+                seed);
+        desk = new FleetOperator(deployment, List.copyOf(machines.values()), stocks, log, seed + 1);
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
@@ -75,12 +80,15 @@
         }
     }
 
-    private List<String> flags(final Machine m) throws IOException {
+    private List<String> flags(final FleetMachine machine) throws IOException {
         final List<String> reach = new ArrayList<>();
-        for (final Machine o : machines.values()) {
-            if (o != m) {
+        for (final FleetMachine o : machines.values()) {
+            if (o != machine) {
                 final int port = relay.open(
-                        m.name(), o.name(), o.host().replace(".0.", ".2."), new InetSocketAddress(o.host(), o.wire()));
+                        machine.name(),
+                        o.name(),
+                        o.host().replace(".0.", ".2."),
+                        new InetSocketAddress(o.host(), o.wire()));
                 reach.add(o.name() + "@" + o.host().replace(".0.", ".2.") + ":" + port);
             }
         }
@@ -89,27 +97,32 @@
                         n + "@" + machines.get(n).host() + ":" + machines.get(n).wire())
                 .toList();
         return List.of(
-                "--cell", place.cell(m.name()), "--seeds", String.join(",", seeds), "--reach", String.join(",", reach));
+                "--cell",
+                deployment.cell(machine.name()),
+                "--seeds",
+                String.join(",", seeds),
+                "--reach",
+                String.join(",", reach));
     }
 
     public Fleet open() throws Exception {
         relay.start();
-        for (final Machine m : machines.values()) {
-            m.start();
+        for (final FleetMachine machine : machines.values()) {
+            machine.start();
         }
         final long end = System.currentTimeMillis() + 60_000;
         while (desk.ask("GET", "config", "") != 200
-                || machines.values().stream().anyMatch(m -> !ready(m))) {
+                || machines.values().stream().anyMatch(machine -> !ready(machine))) {
             if (System.currentTimeMillis() > end) {
                 throw new IOException("the fleet was not ready within 60 s");
             }
             TimeUnit.MILLISECONDS.sleep(200);
         }
-        final int status = desk.apply(place.config());
+        final int status = desk.apply(deployment.config());
         if (status != 200) {
             throw new IOException("the configuration was not accepted: " + status);
         }
-        for (final Originator o : origins.values()) {
+        for (final StandInOrigin o : origins.values()) {
             o.start(0);
         }
         TimeUnit.SECONDS.sleep(3);
@@ -118,29 +131,30 @@
         return this;
     }
 
-    private boolean ready(final Machine m) {
+    private boolean ready(final FleetMachine machine) {
         try {
-            return Files.exists(m.log()) && Files.readString(m.log()).contains("FRAME_FRESH");
+            return Files.exists(machine.log())
+                    && Files.readString(machine.log()).contains("FRAME_FRESH");
         } catch (final IOException e) {
             return false;
         }
     }
 
-    public Machine machine(final String name) {
+    public FleetMachine machine(final String name) {
         return machines.get(name);
     }
 
-    Map<String, Machine> machines() {
+    Map<String, FleetMachine> machines() {
         return machines;
     }
 
-    Map<String, Originator> origins() {
+    Map<String, StandInOrigin> origins() {
         return origins;
     }
 
     /** Another machine for the same service, under a name and address of its own. */
-    synchronized Originator heir(final Originator old) {
-        final Originator next = new Originator(
+    synchronized StandInOrigin heir(final StandInOrigin old) {
+        final StandInOrigin next = new StandInOrigin(
                 old.name() + "-n",
                 stocks.get(old.service()),
                 old.kind(),
@@ -156,7 +170,7 @@
         return bin;
     }
 
-    Relay relay() {
+    LinkRelay relay() {
         return relay;
     }
 
@@ -164,11 +178,11 @@
         return mob;
     }
 
-    Desk desk() {
+    FleetOperator desk() {
         return desk;
     }
 
-    Log log() {
+    RunLog log() {
         return log;
     }
 
@@ -176,12 +190,12 @@
         return dir;
     }
 
-    Place place() {
-        return place;
+    Deployment place() {
+        return deployment;
     }
 
     void trouble(final String what, final String node, final long ms) {
-        log.add(Log.row("log", "rig", "t", System.currentTimeMillis(), "what", what, "node", node, "ms", ms));
+        log.add(RunLog.row("log", "rig", "t", System.currentTimeMillis(), "what", what, "node", node, "ms", ms));
     }
 
     /** Stops traffic, asks every node what it holds, and gathers all logs. */
@@ -189,21 +203,21 @@
         mob.stop();
         desk.stop();
         TimeUnit.SECONDS.sleep(6);
-        for (final Machine m : machines.values()) {
-            if (m.alive()) {
-                log.add(desk.items(m));
+        for (final FleetMachine machine : machines.values()) {
+            if (machine.alive()) {
+                log.add(desk.items(machine));
             }
         }
-        final List<Map<String, Object>> rows = new ArrayList<>(Log.read(dir.resolve("rig.log")));
-        for (final Machine m : machines.values()) {
+        final List<Map<String, Object>> rows = new ArrayList<>(RunLog.read(dir.resolve("rig.log")));
+        for (final FleetMachine machine : machines.values()) {
             String boot = "";
-            for (final Map<String, Object> row : Log.read(m.log())) {
+            for (final Map<String, Object> row : RunLog.read(machine.log())) {
                 if ("STARTED".equals(row.get("name"))) {
                     boot = String.valueOf(row.get("boot"));
                 }
                 row.put("log", "node");
                 row.put("boot", boot);
-                row.put("node", m.name());
+                row.put("node", machine.name());
                 rows.add(row);
             }
         }
@@ -211,9 +225,9 @@
     }
 
     private void reap() {
-        machines.values().forEach(m -> {
+        machines.values().forEach(machine -> {
             try {
-                m.kill();
+                machine.kill();
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -225,7 +239,7 @@
         mob.stop();
         desk.stop();
         reap();
-        for (final Originator o : origins.values()) {
+        for (final StandInOrigin o : origins.values()) {
             if (o.face() != null) {
                 o.close();
             }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Machine.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetMachine.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 
 /** One machine of the fleet: a process, its address, its disk. */
-public final class Machine {
+public final class FleetMachine {
     private final String name;
     private final String host;
     private final int wire;
@@ -24,7 +24,7 @@
     private final List<String> flags = new ArrayList<>();
     private Process process;
 
-    public Machine(final String name, final String host, final int[] ports, final Path dir, final Path bin) {
+    public FleetMachine(final String name, final String host, final int[] ports, final Path dir, final Path bin) {
         this.name = name;
         this.host = host;
         this.wire = ports[0];
@@ -179,8 +179,8 @@
     public static void wipe(final Path at) throws IOException {
         if (Files.exists(at)) {
             try (Stream<Path> all = Files.walk(at)) {
-                for (final Path p : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(p);
+                for (final Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+                    Files.delete(path);
                 }
             }
         }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Desk.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Operators of a fleet over HTTP, and the back ends' own changes. */
-final class Desk {
-    private final Place place;
-    private final List<Machine> nodes;
-    private final Map<String, Stock> stocks;
-    private final Log log;
-    private final Random dice;
+final class FleetOperator {
+    private final Deployment deployment;
+    private final List<FleetMachine> nodes;
+    private final Map<String, StandInBackend> stocks;
+    private final RunLog log;
+    private final Random random;
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(800))
@@ -36,24 +36,24 @@
         return t;
     });
 
-    Desk(
-            final Place place,
-            final List<Machine> nodes,
-            final Map<String, Stock> stocks,
-            final Log log,
+    FleetOperator(
+            final Deployment deployment,
+            final List<FleetMachine> nodes,
+            final Map<String, StandInBackend> stocks,
+            final RunLog log,
             final long seed) {
-        this.place = place;
+        this.deployment = deployment;
         this.nodes = nodes;
         this.stocks = stocks;
         this.log = log;
-        this.dice = new Random(seed);
+        this.random = new Random(seed);
     }
 
     private HttpResponse<String> put(
-            final Machine at, final String path, final String body, final long ver, final String tag)
+            final FleetMachine machine, final String path, final String body, final long ver, final String tag)
             throws IOException, InterruptedException {
         return http.send(
-                HttpRequest.newBuilder(URI.create("http://" + at.http() + "/v1/" + path))
+                HttpRequest.newBuilder(URI.create("http://" + machine.http() + "/v1/" + path))
                         .timeout(Duration.ofSeconds(4))
                         .header("If-Match", "\"" + ver + "\"")
                         .header("Rv-Write-Id", tag)
@@ -66,8 +66,8 @@
         final long t = System.currentTimeMillis();
         final int status = put(nodes.get(0), "config", text, 0, "x").statusCode();
         final long end = System.currentTimeMillis();
-        for (final Place.Kin k : place.kin()) {
-            log.add(Log.row(
+        for (final Deployment.Kin k : deployment.kin()) {
+            log.add(RunLog.row(
                     "log",
                     "op",
                     "t",
@@ -89,7 +89,7 @@
                     "version",
                     1));
             k.ways()
-                    .forEach(w -> log.add(Log.row(
+                    .forEach(w -> log.add(RunLog.row(
                             "log",
                             "op",
                             "t",
@@ -111,9 +111,9 @@
     /** Answers the status, or 0 when nothing came. */
     int ask(final String method, final String path, final String body) {
         try {
-            final Machine at = any();
+            final FleetMachine machine = any();
             return http.send(
-                            HttpRequest.newBuilder(URI.create("http://" + at.http() + "/v1/" + path))
+                            HttpRequest.newBuilder(URI.create("http://" + machine.http() + "/v1/" + path))
                                     .timeout(Duration.ofSeconds(4))
                                     .method(method, HttpRequest.BodyPublishers.ofString(body))
                                     .build(),
@@ -136,50 +136,50 @@
         clock.shutdownNow();
     }
 
-    private synchronized Machine any() {
-        final List<Machine> up = nodes.stream().filter(Machine::alive).toList();
-        return up.isEmpty() ? nodes.get(0) : up.get(dice.nextInt(up.size()));
+    private synchronized FleetMachine any() {
+        final List<FleetMachine> up = nodes.stream().filter(FleetMachine::alive).toList();
+        return up.isEmpty() ? nodes.get(0) : up.get(random.nextInt(up.size()));
     }
 
     private synchronized double roll() {
-        return dice.nextDouble();
+        return random.nextDouble();
     }
 
-    private Place.EdgeRouting pick() {
-        final List<Place.EdgeRouting> ways = place.ways().stream()
+    private Deployment.EdgeRouting pick() {
+        final List<Deployment.EdgeRouting> ways = deployment.ways().stream()
                 .filter(w -> w.mode().equals("cached") && w.purgeable())
                 .toList();
         return ways.get((int) (roll() * ways.size()));
     }
 
     private void change() {
-        final Place.EdgeRouting w = pick();
+        final Deployment.EdgeRouting w = pick();
         final double r = roll();
         final String path = w.prefix() + (int) (w.objects() * r * r * r);
-        final String service = place.kin().stream()
+        final String service = deployment.kin().stream()
                 .filter(k -> k.ways().contains(w))
                 .findFirst()
                 .orElseThrow()
                 .service();
         final long rev = stocks.get(service).change(path);
-        log.add(Log.row("log", "change", "t", System.currentTimeMillis(), "path", path, "rev", rev));
+        log.add(RunLog.row("log", "change", "t", System.currentTimeMillis(), "path", path, "rev", rev));
         if (roll() < 0.33) {
             clock.execute(() -> purge(w, path));
         }
     }
 
     void purgeAny() {
-        final Place.EdgeRouting w = pick();
+        final Deployment.EdgeRouting w = pick();
         purge(w, w.prefix() + (int) (roll() * w.objects()));
     }
 
-    private void purge(final Place.EdgeRouting w, final String path) {
-        final String name = w.route() + "-" + Long.toHexString(org.rowanvalve.common.Hash.mix(path));
+    private void purge(final Deployment.EdgeRouting w, final String path) {
+        final String name = w.route() + "-" + Long.toHexString(org.rowanvalve.common.model.Hash.hash64(path));
         state(
                 "purge",
                 "purges/" + name,
                 "PURGE/" + name,
-                Json.text(Map.of("route", w.route(), "path", path)),
+                Json.write(Map.of("route", w.route(), "path", path)),
                 Map.of("path", path));
     }
 
@@ -205,7 +205,7 @@
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        final Map<String, Object> row = Log.row(
+        final Map<String, Object> row = RunLog.row(
                 "log",
                 "op",
                 "t",
@@ -228,13 +228,13 @@
     }
 
     private void restate() {
-        final Place.EdgeRouting w = pick();
-        final String service = place.kin().stream()
+        final Deployment.EdgeRouting w = pick();
+        final String service = deployment.kin().stream()
                 .filter(k -> k.ways().contains(w))
                 .findFirst()
                 .orElseThrow()
                 .service();
-        final String body = Json.text(Log.row(
+        final String body = Json.write(RunLog.row(
                 "prefix",
                 w.prefix(),
                 "service",
@@ -251,21 +251,22 @@
     }
 
     int restateService() {
-        final Place.Kin k = place.kin().get((int) (roll() * place.kin().size()));
+        final Deployment.Kin k =
+                deployment.kin().get((int) (roll() * deployment.kin().size()));
         final Map<String, Object> body =
-                k.rate() > 0 ? Log.row("kind", k.kind(), "rate", k.rate()) : Log.row("kind", k.kind());
+                k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind());
         body.put("cutoffMs", 1500 + (int) (1000 * roll()));
         return state(
                 "put",
                 "services/" + k.service(),
                 "SERVICE/" + k.service(),
-                Json.text(body),
+                Json.write(body),
                 Map.of("service", k.service(), "rate", k.rate()));
     }
 
-    Map<String, Object> items(final Machine at) throws IOException, InterruptedException {
+    Map<String, Object> items(final FleetMachine machine) throws IOException, InterruptedException {
         final String text = http.send(
-                        HttpRequest.newBuilder(URI.create("http://" + at.http() + "/v1/state"))
+                        HttpRequest.newBuilder(URI.create("http://" + machine.http() + "/v1/state"))
                                 .timeout(Duration.ofSeconds(4))
                                 .build(),
                         HttpResponse.BodyHandlers.ofString())
@@ -277,13 +278,13 @@
             items.put(
                     n.substring(0, n.indexOf('/')).toUpperCase(java.util.Locale.ROOT) + n.substring(n.indexOf('/')), v);
         });
-        return Log.row(
+        return RunLog.row(
                 "log",
                 "end",
                 "t",
                 System.currentTimeMillis(),
                 "node",
-                at.name(),
+                machine.name(),
                 "items",
                 items,
                 "fresh",
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Drill.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetScenarioRunner.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.testkit.Originator;
-import org.rowanvalve.testkit.Script;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.testkit.origin.StandInOrigin;
+import org.rowanvalve.testkit.scenario.Scenario;
 
 /** Brings a script's troubles about on processes. */
-public final class Drill {
+public final class FleetScenarioRunner {
     private static final Set<String> SHOWN = Set.of(
             "kill",
             "power",
@@ -37,7 +37,7 @@
             "blackout",
             "ack-lose");
     private final Fleet fleet;
-    private final Script script;
+    private final Scenario scenario;
     private final List<String> missed = new ArrayList<>();
     private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(4);
 
@@ -46,19 +46,19 @@
         void run() throws Exception;
     }
 
-    public Drill(final Fleet fleet, final Script script) {
+    public FleetScenarioRunner(final Fleet fleet, final Scenario scenario) {
         this.fleet = fleet;
-        this.script = script;
+        this.scenario = scenario;
     }
 
     /** What only the simulator can bring about is told before anything starts. */
-    public static List<Finding> check(final Script s) {
-        final List<Finding> list = new ArrayList<>();
-        for (int i = 0; i < s.steps().size(); i++) {
-            if (!SHOWN.contains(s.steps().get(i).trouble())) {
-                list.add(new Finding(
+    public static List<ValidationError> check(final Scenario scenario) {
+        final List<ValidationError> list = new ArrayList<>();
+        for (int i = 0; i < scenario.steps().size(); i++) {
+            if (!SHOWN.contains(scenario.steps().get(i).trouble())) {
+                list.add(new ValidationError(
                         "/steps/" + i + "/trouble",
-                        s.steps().get(i).trouble() + " can be brought about in the simulator only"));
+                        scenario.steps().get(i).trouble() + " can be brought about in the simulator only"));
             }
         }
         return list;
@@ -70,8 +70,8 @@
 
     public List<Map<String, Object>> run() throws Exception {
         try {
-            script.steps().forEach(s -> in(s.at(), s.trouble(), () -> bring(s)));
-            TimeUnit.SECONDS.sleep(script.seconds());
+            scenario.steps().forEach(step -> in(step.at(), step.trouble(), () -> bring(step)));
+            TimeUnit.SECONDS.sleep(scenario.seconds());
             return fleet.gather();
         } finally {
             clock.shutdownNow();
@@ -93,9 +93,9 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private List<Machine> who(final Script.Step s) throws IOException, InterruptedException {
-        final List<Machine> list = new ArrayList<>();
-        for (final String w : s.who()) {
+    private List<FleetMachine> who(final Scenario.Step step) throws IOException, InterruptedException {
+        final List<FleetMachine> list = new ArrayList<>();
+        for (final String w : step.who()) {
             if (w.equals("all")) {
                 list.addAll(fleet.machines().values());
             } else {
@@ -122,37 +122,37 @@
         return "st1";
     }
 
-    private void bring(final Script.Step s) throws Exception {
-        switch (s.trouble()) {
-            case "kill", "power" -> power(who(s), s.ms(), false);
-            case "lose-disk" -> power(who(s), s.ms(), true);
-            case "blackout" -> blackout(fleet.machine(s.who().get(0)), s.ms());
+    private void bring(final Scenario.Step step) throws Exception {
+        switch (step.trouble()) {
+            case "kill", "power" -> power(who(step), step.ms(), false);
+            case "lose-disk" -> power(who(step), step.ms(), true);
+            case "blackout" -> blackout(fleet.machine(step.who().get(0)), step.ms());
             case "ack-lose" -> {
                 if (fleet.desk().restateService() != 200) {
                     throw new IOException("no write was accepted");
                 }
-                power(who(s), s.ms(), true);
+                power(who(step), step.ms(), true);
             }
-            case "full" -> full(who(s), s.ms());
+            case "full" -> full(who(step), step.ms());
             case "slow" -> {
-                fleet.trouble("slow", "", s.ms());
-                fleet.relay().slow((int) s.size());
-                in(s.ms(), "slow", () -> fleet.relay().slow(0));
+                fleet.trouble("slow", "", step.ms());
+                fleet.relay().slow((int) step.size());
+                in(step.ms(), "slow", () -> fleet.relay().slow(0));
             }
-            case "restart" -> restart(who(s), s.ms());
-            case "freeze" -> freeze(who(s), s.ms());
-            case "cut" -> cut(who(s), s.ms());
+            case "restart" -> restart(who(step), step.ms());
+            case "freeze" -> freeze(who(step), step.ms());
+            case "cut" -> cut(who(step), step.ms());
             case "surge" -> {
-                fleet.trouble("surge", "", s.ms());
-                fleet.mob().factor(s.size());
-                in(s.ms(), "surge", () -> fleet.mob().factor(1));
+                fleet.trouble("surge", "", step.ms());
+                fleet.mob().factor(step.size());
+                in(step.ms(), "surge", () -> fleet.mob().factor(1));
             }
             case "purges", "storm" -> {
-                for (int i = 0; i < s.size(); i++) {
+                for (int i = 0; i < step.size(); i++) {
                     in(
-                            (long) (i * s.ms() / s.size()),
-                            s.trouble(),
-                            s.trouble().equals("purges") ? fleet.desk()::purgeAny : fleet.desk()::restateService);
+                            (long) (i * step.ms() / step.size()),
+                            step.trouble(),
+                            step.trouble().equals("purges") ? fleet.desk()::purgeAny : fleet.desk()::restateService);
                 }
             }
             case "invalid" -> {
@@ -166,24 +166,24 @@
                 }
             }
             default -> {
-                for (final String w : s.who()) {
-                    origin(s, w);
+                for (final String w : step.who()) {
+                    origin(step, w);
                 }
             }
         }
     }
 
-    private void power(final List<Machine> list, final long ms, final boolean disk) throws Exception {
-        for (final Machine m : list) {
-            fleet.trouble("kill", m.name(), ms);
-            m.kill();
+    private void power(final List<FleetMachine> list, final long ms, final boolean disk) throws Exception {
+        for (final FleetMachine machine : list) {
+            fleet.trouble("kill", machine.name(), ms);
+            machine.kill();
             if (disk) {
-                m.loseDisk();
+                machine.loseDisk();
             }
         }
         in(ms, "start", () -> {
-            for (final Machine m : list) {
-                start(m);
+            for (final FleetMachine machine : list) {
+                start(machine);
             }
             if (list.size() > 4) {
                 fleet.trouble("returned", "", 0);
@@ -191,59 +191,59 @@
         });
     }
 
-    private void blackout(final Machine store, final long ms) throws Exception {
-        final List<Machine> all = List.copyOf(fleet.machines().values());
-        for (final Machine m : all) {
-            fleet.trouble("kill", m.name(), ms);
-            m.kill();
+    private void blackout(final FleetMachine store, final long ms) throws Exception {
+        final List<FleetMachine> all = List.copyOf(fleet.machines().values());
+        for (final FleetMachine machine : all) {
+            fleet.trouble("kill", machine.name(), ms);
+            machine.kill();
         }
         store.loseDisk();
         in(ms, "start", () -> {
-            for (final Machine m : all) {
-                start(m);
+            for (final FleetMachine machine : all) {
+                start(machine);
             }
             fleet.trouble("returned", "", 0);
         });
     }
 
     /** Files of the process can no longer grow past one byte, so that each new journal fails. */
-    private void full(final List<Machine> list, final long ms) throws Exception {
-        for (final Machine m : list) {
-            fleet.trouble("full", m.name(), ms);
-            m.limit("1");
-            in(ms, "room", () -> m.limit("unlimited"));
+    private void full(final List<FleetMachine> list, final long ms) throws Exception {
+        for (final FleetMachine machine : list) {
+            fleet.trouble("full", machine.name(), ms);
+            machine.limit("1");
+            in(ms, "room", () -> machine.limit("unlimited"));
         }
     }
 
-    private void start(final Machine m) throws IOException {
-        if (!m.alive()) {
-            fleet.trouble("start", m.name(), 0);
-            m.start();
+    private void start(final FleetMachine machine) throws IOException {
+        if (!machine.alive()) {
+            fleet.trouble("start", machine.name(), 0);
+            machine.start();
         }
     }
 
-    private void restart(final List<Machine> list, final long ms) throws Exception {
-        for (final Machine m : list) {
-            fleet.trouble("restart", m.name(), ms);
-            if (!m.stop(12_000)) {
-                m.kill();
-                throw new IOException(m.name() + " did not stop in time");
+    private void restart(final List<FleetMachine> list, final long ms) throws Exception {
+        for (final FleetMachine machine : list) {
+            fleet.trouble("restart", machine.name(), ms);
+            if (!machine.stop(12_000)) {
+                machine.kill();
+                throw new IOException(machine.name() + " did not stop in time");
             }
-            m.build(fleet.bin());
-            in(ms, "start", () -> start(m));
+            machine.build(fleet.bin());
+            in(ms, "start", () -> start(machine));
         }
     }
 
-    private void freeze(final List<Machine> list, final long ms) throws Exception {
-        for (final Machine m : list) {
-            fleet.trouble("freeze", m.name(), ms);
-            m.signal("STOP");
-            in(ms, "wake", () -> m.signal("CONT"));
+    private void freeze(final List<FleetMachine> list, final long ms) throws Exception {
+        for (final FleetMachine machine : list) {
+            fleet.trouble("freeze", machine.name(), ms);
+            machine.signal("STOP");
+            in(ms, "wake", () -> machine.signal("CONT"));
         }
     }
 
-    private void cut(final List<Machine> list, final long ms) {
-        final List<String> side = list.stream().map(Machine::name).toList();
+    private void cut(final List<FleetMachine> list, final long ms) {
+        final List<String> side = list.stream().map(FleetMachine::name).toList();
         final long votes =
                 side.stream().filter(List.of("st1", "st2", "sh1")::contains).count();
         for (final String n : fleet.machines().keySet()) {
@@ -260,16 +260,16 @@
         in(ms, "heal", fleet.relay()::heal);
     }
 
-    private void origin(final Script.Step s, final String name) throws Exception {
-        final Originator o = fleet.origins().get(name);
-        fleet.trouble(s.trouble(), name, s.ms());
-        switch (s.trouble()) {
-            case "origin-slow" -> fault(o, "none", (long) s.size(), s.ms());
-            case "origin-lose" -> fault(o, "lose", 3, s.ms());
-            case "origin-wrong" -> fault(o, "wrong", 3, s.ms());
+    private void origin(final Scenario.Step step, final String name) throws Exception {
+        final StandInOrigin o = fleet.origins().get(name);
+        fleet.trouble(step.trouble(), name, step.ms());
+        switch (step.trouble()) {
+            case "origin-slow" -> fault(o, "none", (long) step.size(), step.ms());
+            case "origin-lose" -> fault(o, "lose", 3, step.ms());
+            case "origin-wrong" -> fault(o, "wrong", 3, step.ms());
             case "origin-replace" -> {
-                final Originator next = fleet.heir(o);
-                in(s.ms(), "replaced", () -> {
+                final StandInOrigin next = fleet.heir(o);
+                in(step.ms(), "replaced", () -> {
                     if (!o.leave(10)) {
                         throw new IOException(name + " could not say that it leaves");
                     }
@@ -281,27 +281,27 @@
                 if (!o.leave(10)) {
                     throw new IOException(name + " could not say that it leaves");
                 }
-                in(s.ms(), "back", () -> again(o));
+                in(step.ms(), "back", () -> again(o));
             }
             case "origin-swap" -> {
                 final int port = o.port();
                 o.stop();
                 o.start(port, "foreign");
-                in(s.ms(), "back", () -> again(o));
+                in(step.ms(), "back", () -> again(o));
             }
             default -> {
                 o.stop();
-                in(s.ms(), "back", () -> o.start(0));
+                in(step.ms(), "back", () -> o.start(0));
             }
         }
     }
 
-    private static void again(final Originator o) throws Exception {
+    private static void again(final StandInOrigin o) throws Exception {
         o.stop();
         o.start(0);
     }
 
-    private void fault(final Originator o, final String kind, final long slow, final long ms) {
+    private void fault(final StandInOrigin o, final String kind, final long slow, final long ms) {
         o.face().fault(kind, slow);
         in(ms, "mend", () -> o.face().fault("none", 3));
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Relay.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LinkRelay.java
@@ -16,14 +16,14 @@
 import java.util.function.ToLongFunction;
 
 /** All links between machines: one listener for each direction of each pair. A cut link swallows, it does not refuse. */
-public final class Relay implements AutoCloseable {
+public final class LinkRelay implements AutoCloseable {
     private static final int ROOM = 1 << 20;
     private final Selector selector;
     private final Map<String, Integer> ports = new HashMap<>();
     private final Set<String> cuts = ConcurrentHashMap.newKeySet();
     private final ConcurrentLinkedQueue<Runnable> jobs = new ConcurrentLinkedQueue<>();
     private final ToLongFunction<String> delay;
-    private final java.util.Random dice = new java.util.Random(1);
+    private final java.util.Random random = new java.util.Random(1);
     private final Thread thread = new Thread(this::run, "relay");
     private volatile boolean on = true;
     private volatile int slow;
@@ -48,7 +48,7 @@
     private record EdgeRouting(String link, InetSocketAddress target) {}
 
     /** {@code delay} gives the one-way milliseconds of a link named "a>b". */
-    public Relay(final ToLongFunction<String> delay) throws IOException {
+    public LinkRelay(final ToLongFunction<String> delay) throws IOException {
         this.delay = delay;
         selector = Selector.open();
         thread.setDaemon(true);
@@ -175,7 +175,7 @@
         b.flip();
         p.size += n;
         p.queue.addLast(new Part(
-                System.currentTimeMillis() + delay.applyAsLong(p.link) + (slow == 0 ? 0 : dice.nextInt(slow)), b));
+                System.currentTimeMillis() + delay.applyAsLong(p.link) + (slow == 0 ? 0 : random.nextInt(slow)), b));
     }
 
     private void flush(final Pipe p, final long now) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Requesters of a fleet: the deployment's mix over HTTP, the platform picking edges by readiness. */
 final class LoadGenerator {
     private static final int ROOM = 3000;
-    private final Place place;
-    private final List<Machine> edges;
-    private final Log log;
-    private final Random dice;
+    private final Deployment deployment;
+    private final List<FleetMachine> edges;
+    private final RunLog log;
+    private final Random random;
     private final HttpClient http = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofMillis(1000))
@@ -42,11 +42,11 @@
     private volatile double factor = 1;
     private double due;
 
-    LoadGenerator(final Place place, final List<Machine> edges, final Log log, final long seed) {
-        this.place = place;
+    LoadGenerator(final Deployment deployment, final List<FleetMachine> edges, final RunLog log, final long seed) {
+        this.deployment = deployment;
         this.edges = edges;
         this.log = log;
-        this.dice = new Random(seed);
+        this.random = new Random(seed);
     }
 
     void start() {
@@ -66,14 +66,14 @@
     }
 
     private void grade() {
-        for (final Machine m : edges) {
+        for (final FleetMachine machine : edges) {
             http.sendAsync(
-                            HttpRequest.newBuilder(URI.create("http://" + m.http() + "/v1/ready"))
+                            HttpRequest.newBuilder(URI.create("http://" + machine.http() + "/v1/ready"))
                                     .timeout(Duration.ofMillis(700))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString())
                     .whenComplete((r, e) -> grades.put(
-                            m.name(),
+                            machine.name(),
                             e != null || r.statusCode() != 200
                                     ? 0
                                     : ((Number) Json.read(r.body(), Map.class).get("grade")).intValue()));
@@ -83,32 +83,32 @@
     private synchronized void tick() {
         final long now = System.currentTimeMillis();
         while (on && due <= now) {
-            due += -Math.log(1 - dice.nextDouble()) * 1000 / (place.perSecond() * factor);
-            final Place.EdgeRouting w = place.pick(dice.nextDouble());
-            final double roll = dice.nextDouble();
+            due += -Math.log(1 - random.nextDouble()) * 1000 / (deployment.perSecond() * factor);
+            final Deployment.EdgeRouting w = deployment.pick(random.nextDouble());
+            final double roll = random.nextDouble();
             final String path = w.prefix() + (int) (w.objects() * roll * roll);
             send(w, path, w.mode().equals("once") ? "key-" + serial.incrementAndGet() : null, 1);
         }
     }
 
-    private synchronized Machine pick() {
-        final List<Machine> good = edges.stream()
-                .filter(m -> grades.getOrDefault(m.name(), 0) >= 50)
+    private synchronized FleetMachine pick() {
+        final List<FleetMachine> good = edges.stream()
+                .filter(machine -> grades.getOrDefault(machine.name(), 0) >= 50)
                 .toList();
-        final List<Machine> from = good.isEmpty() ? edges : good;
-        return from.get(dice.nextInt(from.size()));
+        final List<FleetMachine> from = good.isEmpty() ? edges : good;
+        return from.get(random.nextInt(from.size()));
     }
 
-    private void send(final Place.EdgeRouting w, final String path, final String key, final int turn) {
-        final Machine at = pick();
+    private void send(final Deployment.EdgeRouting w, final String path, final String key, final int turn) {
+        final FleetMachine machine = pick();
         final long t = System.currentTimeMillis();
         final long id = serial.incrementAndGet();
         if (open.incrementAndGet() > ROOM) {
             open.decrementAndGet();
             return;
         }
-        final HttpRequest.Builder r =
-                HttpRequest.newBuilder(URI.create("http://" + at.door() + path)).timeout(Duration.ofSeconds(5));
+        final HttpRequest.Builder r = HttpRequest.newBuilder(URI.create("http://" + machine.door() + path))
+                .timeout(Duration.ofSeconds(5));
         if (key != null) {
             r.header("Rv-Key", key)
                     .header("Content-Type", "application/json")
@@ -116,16 +116,16 @@
         }
         http.sendAsync(r.build(), HttpResponse.BodyHandlers.ofByteArray()).whenComplete((a, e) -> {
             open.decrementAndGet();
-            note(w, path, key, turn, at, t, id, e == null ? a : null);
+            note(w, path, key, turn, machine, t, id, e == null ? a : null);
         });
     }
 
     private void note(
-            final Place.EdgeRouting w,
+            final Deployment.EdgeRouting w,
             final String path,
             final String key,
             final int turn,
-            final Machine at,
+            final FleetMachine machine,
             final long t,
             final long id,
             final HttpResponse<byte[]> a) {
@@ -139,7 +139,7 @@
                 map = Map.of("path", "unreadable");
             }
         }
-        log.add(Log.row(
+        log.add(RunLog.row(
                 "log",
                 "req",
                 "t",
@@ -149,7 +149,7 @@
                 "id",
                 id,
                 "node",
-                at.name(),
+                machine.name(),
                 "route",
                 w.route(),
                 "mode",
@@ -173,7 +173,7 @@
                 "whole",
                 a == null
                         ? null
-                        : Hash.digest(a.body())
+                        : Hash.sha256Hex(a.body())
                                 .equals(a.headers().firstValue("rv-digest").orElse("")),
                 "why",
                 fate.equals("done") || a == null ? null : new String(a.body(), java.nio.charset.StandardCharsets.UTF_8),
@@ -184,15 +184,15 @@
                 "rev",
                 map.get("rev")));
         final boolean again = !fate.equals("done");
-        if (on && again && turn < 4 && roll() < (place.hasty() ? 0.9 : 0.4)) {
-            later(place.hasty() ? 20 : 500 + (long) (1000 * roll()), () -> send(w, path, key, turn + 1));
+        if (on && again && turn < 4 && roll() < (deployment.hasty() ? 0.9 : 0.4)) {
+            later(deployment.hasty() ? 20 : 500 + (long) (1000 * roll()), () -> send(w, path, key, turn + 1));
         } else if (on && key != null && !again && turn == 1 && roll() < 0.05) {
             later(200 + (long) (3000 * roll()), () -> send(w, path, key, 9));
         }
     }
 
     private synchronized double roll() {
-        return dice.nextDouble();
+        return random.nextDouble();
     }
 
     private void later(final long ms, final Runnable job) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/ControlAnswers.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/ControlResponseRules.java
@@ -9,59 +9,65 @@
 import java.util.TreeMap;
 
 /** Rules on the answers that operators got, try by try. */
-final class ControlAnswers {
+final class ControlResponseRules {
     /** How long an order may go without an acknowledgement while nothing troubles the shields. */
     private static final long ACK_MS = 4000;
 
     private static final long CALM_AFTER_MS = 3000;
     private static final int TAKEN = 200;
 
-    private ControlAnswers() {}
+    private ControlResponseRules() {}
 
     private static boolean refused(final long status) {
         return status / 100 == 4;
     }
 
     /** A shield that has no contact with a majority of voters answers 503; a read shows what was acknowledged before it. */
-    static Verdict contact(final Facts f, final Verdict v) {
-        for (final Facts.Row r : f.of("try")) {
-            cutOff(f, r, r.text("kind"), r.num("status") / 100 != 5, v);
+    static Verdict contact(final RunFacts facts, final Verdict verdict) {
+        for (final RunFacts.Row row : facts.of("try")) {
+            cutOff(facts, row, row.text("kind"), row.num("status") / 100 != 5, verdict);
         }
-        for (final Facts.Row r : f.of("read")) {
-            if (r.has("end")) {
-                cutOff(f, r, "read", r.yes("whole"), v);
+        for (final RunFacts.Row row : facts.of("read")) {
+            if (row.has("end")) {
+                cutOff(facts, row, "read", row.yes("whole"), verdict);
             }
         }
-        f.of("op").stream()
-                .filter(r -> r.text("what").equals("leave") && r.has("at"))
-                .forEach(r -> cutOff(f, r, "leave", r.num("status") / 100 != 5, v));
-        f.of("read").stream().filter(r -> r.yes("whole") && r.has("end")).forEach(r -> recent(f, r, v));
-        return v;
+        facts.of("op").stream()
+                .filter(row -> row.text("what").equals("leave") && row.has("at"))
+                .forEach(row -> cutOff(facts, row, "leave", row.num("status") / 100 != 5, verdict));
+        facts.of("read").stream()
+                .filter(row -> row.yes("whole") && row.has("end"))
+                .forEach(row -> recent(facts, row, verdict));
+        return verdict;
     }
 
     private static void cutOff(
-            final Facts f, final Facts.Row r, final String kind, final boolean answered, final Verdict v) {
-        final String node = r.has("node") ? r.text("node") : r.text("at");
-        if (f.withoutMajority(node, r.t(), r.num("end"))) {
-            v.check();
+            final RunFacts facts,
+            final RunFacts.Row row,
+            final String kind,
+            final boolean answered,
+            final Verdict verdict) {
+        final String node = row.has("node") ? row.text("node") : row.text("at");
+        if (facts.withoutMajority(node, row.t(), row.num("end"))) {
+            verdict.check();
             if (answered) {
-                v.breach(node + " answered a " + kind + " sent at " + r.t() + " with "
-                        + (r.has("status") ? r.text("status") : "the whole") + " at " + r.num("end")
+                verdict.breach(node + " answered a " + kind + " sent at " + row.t() + " with "
+                        + (row.has("status") ? row.text("status") : "the whole") + " at " + row.num("end")
                         + " though it was cut off from a majority");
             }
         }
     }
 
-    private static void recent(final Facts f, final Facts.Row read, final Verdict v) {
+    private static void recent(final RunFacts facts, final RunFacts.Row read, final Verdict verdict) {
         if (!(read.map().get("items") instanceof Map<?, ?> items)) {
             return;
         }
         final Map<String, Long> least = new TreeMap<>();
-        f.accepted("put").stream()
+        facts.accepted("put").stream()
                 .filter(p -> p.num("end") < read.t() && !p.yes("gone"))
                 .forEach(p -> least.merge(p.text("item"), p.num("version"), Math::max));
         final Set<String> dropped = new HashSet<>();
-        f.of("op").stream()
+        facts.of("op").stream()
                 .filter(p -> p.text("what").equals("sent") && p.yes("gone"))
                 .forEach(p -> dropped.add(p.text("item")));
         least.forEach((item, version) -> {
@@ -69,20 +75,21 @@
             if (is.isEmpty() && dropped.contains(item)) {
                 return;
             }
-            v.check();
+            verdict.check();
             if (is.isEmpty() || Long.parseLong(is.split(" ")[0]) < version) {
-                v.breach(read.text("node") + " read at " + read.t() + " shows '" + is + "' of " + item + ", version "
-                        + version + " was acknowledged before");
+                verdict.breach(read.text("node") + " read at " + read.t() + " shows '" + is + "' of " + item
+                        + ", version " + version + " was acknowledged before");
             }
         });
     }
 
     /** Tries of each order. */
-    private static Map<String, List<Facts.Row>> tries(final Facts f) {
-        return Facts.group(f.of("try").stream().filter(r -> r.has("order")).toList(), "order");
+    private static Map<String, List<RunFacts.Row>> tries(final RunFacts facts) {
+        return RunFacts.group(
+                facts.of("try").stream().filter(row -> row.has("order")).toList(), "order");
     }
 
-    private static List<String> marks(final Facts.Row order) {
+    private static List<String> marks(final RunFacts.Row order) {
         final List<String> all = new ArrayList<>();
         if (order.map().get("items") instanceof List<?> list) {
             list.forEach(m -> all.add(String.valueOf(m)));
@@ -91,16 +98,16 @@
     }
 
     /** Of two bodies under one version at most one is ever confirmed, and nothing of a refused order is in force. */
-    static Verdict oneBody(final Facts f, final Verdict v) {
-        final Map<String, List<Facts.Row>> tries = tries(f);
+    static Verdict oneBody(final RunFacts facts, final Verdict verdict) {
+        final Map<String, List<RunFacts.Row>> tries = tries(facts);
         final Map<String, Set<String>> confirmed = new HashMap<>();
         final Set<String> sentBodies = new HashSet<>();
         final Set<String> refusedBodies = new HashSet<>();
         final Set<String> otherBodies = new HashSet<>();
-        for (final Facts.Row order : f.of("order")) {
-            final List<Facts.Row> mine = tries.getOrDefault(order.text("id") + "|", List.of());
-            final boolean taken = mine.stream().anyMatch(r -> r.num("status") == TAKEN);
-            final boolean no = !taken && mine.stream().anyMatch(r -> refused(r.num("status")));
+        for (final RunFacts.Row order : facts.of("order")) {
+            final List<RunFacts.Row> mine = tries.getOrDefault(order.text("id") + "|", List.of());
+            final boolean taken = mine.stream().anyMatch(row -> row.num("status") == TAKEN);
+            final boolean no = !taken && mine.stream().anyMatch(row -> refused(row.num("status")));
             for (final String mark : marks(order)) {
                 final String number = mark.substring(0, mark.lastIndexOf('|'));
                 final String body = mark.substring(mark.lastIndexOf('|') + 1);
@@ -112,70 +119,71 @@
             }
         }
         confirmed.forEach((number, bodies) -> {
-            v.check();
+            verdict.check();
             if (bodies.size() > 1) {
-                v.breach(number + " was confirmed with the bodies " + bodies);
+                verdict.breach(number + " was confirmed with the bodies " + bodies);
             }
         });
         refusedBodies.removeAll(otherBodies);
-        for (final Facts.Row read : f.of("read")) {
+        for (final RunFacts.Row read : facts.of("read")) {
             if (read.map().get("items") instanceof Map<?, ?> items) {
                 items.forEach((item, is) -> {
                     final String mark = item + "|" + String.valueOf(is).replace(' ', '|');
-                    v.check();
+                    verdict.check();
                     if (refusedBodies.contains(mark)) {
-                        v.breach(read.text("node") + " reads back " + mark + " at " + read.num("end")
+                        verdict.breach(read.text("node") + " reads back " + mark + " at " + read.num("end")
                                 + ", of an order that was refused");
                     }
                 });
             }
         }
-        return v;
+        return verdict;
     }
 
     /** An order that was taken once is acknowledged again or left without a clear answer, wherever it is sent. */
-    static Verdict repeated(final Facts f, final Verdict v) {
-        tries(f).forEach((order, all) -> {
-            if (all.stream().noneMatch(r -> r.num("status") == TAKEN)) {
+    static Verdict repeated(final RunFacts facts, final Verdict verdict) {
+        tries(facts).forEach((order, all) -> {
+            if (all.stream().noneMatch(row -> row.num("status") == TAKEN)) {
                 return;
             }
-            v.check(all.size() - 1);
+            verdict.check(all.size() - 1);
             all.stream()
-                    .filter(r -> refused(r.num("status")))
-                    .forEach(r -> v.breach("order " + order + " was taken, and refused with " + r.num("status") + " by "
-                            + r.text("node") + " at " + r.num("end")));
+                    .filter(row -> refused(row.num("status")))
+                    .forEach(row -> verdict.breach("order " + order + " was taken, and refused with "
+                            + row.num("status") + " by " + row.text("node") + " at " + row.num("end")));
         });
-        return v;
+        return verdict;
     }
 
     /** After the closing fault every shield reads the whole back; an order in calm times is acknowledged in time. */
-    static Verdict acknowledged(final Facts f, final Verdict v) {
-        for (final Facts.Row read : f.of("read")) {
+    static Verdict acknowledged(final RunFacts facts, final Verdict verdict) {
+        for (final RunFacts.Row read : facts.of("read")) {
             if (read.yes("last")) {
-                v.check();
+                verdict.check();
                 if (!read.yes("whole")) {
-                    v.breach(read.text("node") + " cannot read the whole back at the end");
+                    verdict.breach(read.text("node") + " cannot read the whole back at the end");
                 }
             }
         }
-        final long end =
-                f.of("cost").isEmpty() ? Long.MAX_VALUE : f.of("cost").get(0).t();
-        final List<long[]> troubled = f.coreTroubles(CALM_AFTER_MS);
-        final Map<String, List<Facts.Row>> tries = tries(f);
-        for (final Facts.Row order : f.of("order")) {
+        final long end = facts.of("cost").isEmpty()
+                ? Long.MAX_VALUE
+                : facts.of("cost").get(0).t();
+        final List<long[]> troubled = facts.coreTroubles(CALM_AFTER_MS);
+        final Map<String, List<RunFacts.Row>> tries = tries(facts);
+        for (final RunFacts.Row order : facts.of("order")) {
             final long done = tries.getOrDefault(order.text("id") + "|", List.of()).stream()
-                    .filter(r -> r.num("status") / 100 != 5 && r.num("end") >= order.t())
-                    .mapToLong(r -> r.num("end"))
+                    .filter(row -> row.num("status") / 100 != 5 && row.num("end") >= order.t())
+                    .mapToLong(row -> row.num("end"))
                     .min()
                     .orElse(end);
-            v.check();
+            verdict.check();
             final long calm = calm(troubled, order.t(), Math.min(done, end));
             if (calm > ACK_MS) {
-                v.breach("order " + order.text("id") + " sent at " + order.t() + " had no clear answer in " + calm
+                verdict.breach("order " + order.text("id") + " sent at " + order.t() + " had no clear answer in " + calm
                         + " calm ms, first at " + done);
             }
         }
-        return v;
+        return verdict;
     }
 
     /** The longest stretch without a trouble. */
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/Facts.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/RunFacts.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 
 /** The logs of one run, sorted by time and by kind. */
-public final class Facts {
+public final class RunFacts {
     /** After which a node counts as healthy again: two rounds of beats and of frames. */
     private static final long REST = 2500;
 
@@ -57,22 +57,22 @@
         }
     }
 
-    public Facts(final List<Map<String, Object>> rows) {
+    public RunFacts(final List<Map<String, Object>> rows) {
         rows.stream()
                 .map(Row::new)
                 .sorted(Comparator.comparingLong(Row::t))
-                .forEach(r -> kinds.computeIfAbsent(r.text("log"), k -> new ArrayList<>())
-                        .add(r));
+                .forEach(row -> kinds.computeIfAbsent(row.text("log"), k -> new ArrayList<>())
+                        .add(row));
         readVotingSets();
-        for (final Row r : of("rig")) {
-            final String what = r.text("what");
+        for (final Row row : of("rig")) {
+            final String what = row.text("what");
             if (what.equals("added")) {
-                bad.computeIfAbsent(r.text("node"), k -> new ArrayList<>()).add(new long[] {0, back(r) + REST});
+                bad.computeIfAbsent(row.text("node"), k -> new ArrayList<>()).add(new long[] {0, back(row) + REST});
             } else if (what.equals("retired")) {
-                bad.computeIfAbsent(r.text("node"), k -> new ArrayList<>()).add(new long[] {r.t(), Long.MAX_VALUE});
+                bad.computeIfAbsent(row.text("node"), k -> new ArrayList<>()).add(new long[] {row.t(), Long.MAX_VALUE});
             } else if (DOWN.contains(what) || APART.contains(what)) {
-                final long until = DOWN.contains(what) ? back(r) : r.t() + r.num("ms");
-                bad.computeIfAbsent(r.text("node"), k -> new ArrayList<>()).add(new long[] {r.t(), until + REST});
+                final long until = DOWN.contains(what) ? back(row) : row.t() + row.num("ms");
+                bad.computeIfAbsent(row.text("node"), k -> new ArrayList<>()).add(new long[] {row.t(), until + REST});
             }
         }
     }
@@ -81,9 +81,9 @@
     private long back(final Row gone) {
         final boolean added = gone.text("what").equals("added");
         return Stream.concat(
-                        of("node").stream().filter(r -> r.text("name").equals("STARTED")),
-                        of("rig").stream().filter(r -> r.text("what").equals("retired")))
-                .filter(r -> r.text("node").equals(gone.text("node")))
+                        of("node").stream().filter(row -> row.text("name").equals("STARTED")),
+                        of("rig").stream().filter(row -> row.text("what").equals("retired")))
+                .filter(row -> row.text("node").equals(gone.text("node")))
                 .mapToLong(Row::t)
                 .filter(t -> added ? t >= gone.t() : t > gone.t())
                 .min()
@@ -95,12 +95,12 @@
     }
 
     public List<Row> nodes(final String name) {
-        return of("node").stream().filter(r -> r.text("name").equals(name)).toList();
+        return of("node").stream().filter(row -> row.text("name").equals(name)).toList();
     }
 
     public List<Row> accepted(final String what) {
         return of("op").stream()
-                .filter(r -> r.text("what").equals(what) && r.num("status") == 200)
+                .filter(row -> row.text("what").equals(what) && row.num("status") == 200)
                 .toList();
     }
 
@@ -125,10 +125,10 @@
 
     private boolean in(final Set<String> troubles, final String node, final long t) {
         return of("rig").stream()
-                .anyMatch(r -> troubles.contains(r.text("what"))
-                        && r.text("node").equals(node)
-                        && t >= r.t()
-                        && t <= r.t() + r.num("ms") + REST);
+                .anyMatch(row -> troubles.contains(row.text("what"))
+                        && row.text("node").equals(node)
+                        && t >= row.t()
+                        && t <= row.t() + row.num("ms") + REST);
     }
 
     /** More than half of the voters had no trouble; always so where the log does not name them. */
@@ -150,12 +150,12 @@
 
     /** Each voting set by the time from which some node went by it. */
     private void readVotingSets() {
-        of("place").forEach(r -> votingSets.put(r.t(), names(r.map().get("electors"))));
+        of("place").forEach(row -> votingSets.put(row.t(), names(row.map().get("electors"))));
         long epoch = 0;
-        for (final Row r : nodes("VOTERS_SET")) {
-            if (r.num("epoch") > epoch) {
-                epoch = r.num("epoch");
-                votingSets.put(r.t(), names(r.map().get("voters")));
+        for (final Row row : nodes("VOTERS_SET")) {
+            if (row.num("epoch") > epoch) {
+                epoch = row.num("epoch");
+                votingSets.put(row.t(), names(row.map().get("voters")));
             }
         }
     }
@@ -167,30 +167,30 @@
     /** Whether a shield could reach no majority of the voters from the one moment to the other, by cuts alone. */
     boolean withoutMajority(final String node, final long from, final long to) {
         return of("rig").stream()
-                .filter(r -> CUTS.contains(r.text("what"))
-                        && r.text("node").equals(node)
-                        && r.t() < from
-                        && r.t() + r.num("ms") > to)
-                .anyMatch(r -> {
+                .filter(row -> CUTS.contains(row.text("what"))
+                        && row.text("node").equals(node)
+                        && row.t() < from
+                        && row.t() + row.num("ms") > to)
+                .anyMatch(row -> {
                     final Set<String> side = of("rig").stream()
-                            .filter(o -> o.t() == r.t() && o.text("what").equals(r.text("what")))
+                            .filter(o -> o.t() == row.t() && o.text("what").equals(row.text("what")))
                             .map(o -> o.text("node"))
                             .collect(Collectors.toSet());
                     return !votingSets.isEmpty()
-                            && voters(r.t(), to).stream().noneMatch(set -> majority(set, side::contains));
+                            && voters(row.t(), to).stream().noneMatch(set -> majority(set, side::contains));
                 });
     }
 
     /** Moments at which shields or links between them are in trouble, or were up to {@code rest} ago, in order. */
     List<long[]> coreTroubles(final long rest) {
         final List<long[]> all = new ArrayList<>();
-        for (final Row r : of("rig")) {
-            final String what = r.text("what");
-            final boolean shield = r.text("node").startsWith("sh");
+        for (final Row row : of("rig")) {
+            final String what = row.text("what");
+            final boolean shield = row.text("node").startsWith("sh");
             if (LINKS.contains(what) || shield && (APART.contains(what) || what.equals("retired"))) {
-                all.add(new long[] {r.t(), r.t() + r.num("ms") + rest});
+                all.add(new long[] {row.t(), row.t() + row.num("ms") + rest});
             } else if (shield && (DOWN.contains(what) || what.equals("added"))) {
-                all.add(new long[] {r.t(), back(r) + rest});
+                all.add(new long[] {row.t(), back(row) + rest});
             }
         }
         all.sort(Comparator.comparingLong(b -> b[0]));
@@ -200,19 +200,19 @@
     /** The next moment at which no machine is up. */
     long dark(final long from) {
         final List<Row> turns = new ArrayList<>(nodes("STARTED"));
-        final Set<String> up = turns.stream().map(r -> r.text("node")).collect(Collectors.toSet());
+        final Set<String> up = turns.stream().map(row -> row.text("node")).collect(Collectors.toSet());
         final Set<String> ends = Set.of("kill", "retired");
-        of("rig").stream().filter(r -> ends.contains(r.text("what"))).forEach(turns::add);
+        of("rig").stream().filter(row -> ends.contains(row.text("what"))).forEach(turns::add);
         turns.stream()
-                .filter(r -> r.text("what").equals("retired") && r.t() <= from)
-                .forEach(r -> up.remove(r.text("node")));
-        turns.removeIf(r -> r.t() <= from);
+                .filter(row -> row.text("what").equals("retired") && row.t() <= from)
+                .forEach(row -> up.remove(row.text("node")));
+        turns.removeIf(row -> row.t() <= from);
         turns.sort(Comparator.comparingLong(Row::t));
-        for (final Row r : turns) {
-            if (r.text("name").equals("STARTED")) {
-                up.add(r.text("node"));
-            } else if (up.remove(r.text("node")) && up.isEmpty()) {
-                return r.t();
+        for (final Row row : turns) {
+            if (row.text("name").equals("STARTED")) {
+                up.add(row.text("node"));
+            } else if (up.remove(row.text("node")) && up.isEmpty()) {
+                return row.t();
             }
         }
         return Long.MAX_VALUE;
@@ -221,17 +221,17 @@
     /** Whether some node had dropped that version by then: what is dropped is not lost. */
     public boolean swept(final String item, final long ver, final long by) {
         final String kind = item.startsWith("PURGE/") ? "purges" : item.startsWith("ORIGIN/") ? "origins" : "none";
-        return nodes("SWEPT").stream().anyMatch(r -> r.t() <= by && r.num(kind) >= ver);
+        return nodes("SWEPT").stream().anyMatch(row -> row.t() <= by && row.num(kind) >= ver);
     }
 
     public static Map<String, List<Row>> group(final List<Row> rows, final String... names) {
         final Map<String, List<Row>> map = new TreeMap<>();
-        for (final Row r : rows) {
+        for (final Row row : rows) {
             final StringBuilder key = new StringBuilder();
             for (final String n : names) {
-                key.append(r.text(n)).append('|');
+                key.append(row.text(n)).append('|');
             }
-            map.computeIfAbsent(key.toString(), k -> new ArrayList<>()).add(r);
+            map.computeIfAbsent(key.toString(), k -> new ArrayList<>()).add(row);
         }
         return map;
     }
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The rules, checked on a run from its logs alone.
+ */
+package org.rowanvalve.testkit.judge;
--- a/testkit/src/main/java/org/rowanvalve/testkit/Log.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/log/RunLog.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.log;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -10,18 +10,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.control.json.Json;
 
 /** JSON lines on one clock: what requesters, origins, operators, nodes and the rig saw. */
-public final class Log implements AutoCloseable {
+public final class RunLog implements AutoCloseable {
     private final List<Map<String, Object>> rows = new ArrayList<>();
     private final BufferedWriter out;
 
-    public Log() {
+    public RunLog() {
         out = null;
     }
 
-    public Log(final Path file) throws IOException {
+    public RunLog(final Path file) throws IOException {
         out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
@@ -41,7 +41,7 @@
             return;
         }
         try {
-            out.write(Json.text(row));
+            out.write(Json.write(row));
             out.newLine();
             out.flush();
         } catch (final IOException e) {
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/log/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Logs of a run as JSON lines.
+ */
+package org.rowanvalve.testkit.log;
--- a/testkit/src/main/java/org/rowanvalve/testkit/Stock.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInBackend.java
@@ -1,36 +1,36 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.origin;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.control.json.Json;
 
 /** A stand-in's back end: objects with revisions, and bookings that must run once. Shared by its service's origins. */
-public final class Stock {
+public final class StandInBackend {
     private final String service;
     private final Map<String, Long> revs;
     private final Map<String, Long> runs = new HashMap<>();
     private long count;
 
-    public Stock(final String service) {
+    public StandInBackend(final String service) {
         this(service, new TreeMap<>());
     }
 
-    private Stock(final String service, final Map<String, Long> revs) {
+    private StandInBackend(final String service, final Map<String, Long> revs) {
         this.service = service;
         this.revs = revs;
     }
 
     /** The same objects behind another service. */
-    public Stock twin(final String other) {
-        return new Stock(other, revs);
+    public StandInBackend twin(final String other) {
+        return new StandInBackend(other, revs);
     }
 
     /** The name under which an object may be purged together with others. */
     public static String tag(final String path) {
-        return "t" + Long.remainderUnsigned(Hash.mix("tag of " + path), 12) + path.substring(1, 3);
+        return "t" + Long.remainderUnsigned(Hash.hash64("tag of " + path), 12) + path.substring(1, 3);
     }
 
     public String service() {
@@ -46,14 +46,14 @@
         map.put("service", service);
         map.put("path", path);
         map.put("rev", revs.getOrDefault(path, 1L));
-        map.put("text", Long.toHexString(Hash.mix(path)).repeat(8));
-        return Json.text(map);
+        map.put("text", Long.toHexString(Hash.hash64(path)).repeat(8));
+        return Json.write(map);
     }
 
     public synchronized String run(final String path, final String key) {
         count++;
         runs.merge(key, 1L, Long::sum);
-        return Json.text(
+        return Json.write(
                 key == null
                         ? Map.of("service", service, "path", path, "number", count)
                         : Map.of("service", service, "path", path, "key", key, "number", count));
--- a/testkit/src/main/java/org/rowanvalve/testkit/StandIn.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInHandler.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.origin;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -11,28 +11,29 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** A stand-in origin's HTTP side, keeping the origin contract unless told to break it. */
-public final class StandIn extends Handler.Abstract {
+public final class StandInHandler extends Handler.Abstract {
     private final String name;
     private final String stamp;
-    private final Stock stock;
-    private final Log log;
+    private final StandInBackend backend;
+    private final RunLog log;
     private final ScheduledExecutorService clock;
     private volatile String fault = "none";
     private volatile long slow = 3;
 
-    public StandIn(
+    public StandInHandler(
             final String name,
             final String stamp,
-            final Stock stock,
-            final Log log,
+            final StandInBackend backend,
+            final RunLog log,
             final ScheduledExecutorService clock) {
         this.name = name;
         this.stamp = stamp;
-        this.stock = stock;
+        this.backend = backend;
         this.log = log;
         this.clock = clock;
     }
@@ -61,7 +62,7 @@
                         res,
                         done,
                         200,
-                        Json.text(Map.of("service", other ? "someone-else" : stock.service(), "stamp", stamp)),
+                        Json.write(Map.of("service", other ? "someone-else" : backend.service(), "stamp", stamp)),
                         "");
                 return;
             }
@@ -80,7 +81,7 @@
         final String id = heads.get("Rv-Request");
         final String key = heads.get("Rv-Key");
         final boolean run = method.equals("POST");
-        log.add(Log.row(
+        log.add(RunLog.row(
                 "log",
                 "org",
                 "t",
@@ -88,7 +89,7 @@
                 "origin",
                 name,
                 "service",
-                fault.equals("foreign") ? "someone-else" : stock.service(),
+                fault.equals("foreign") ? "someone-else" : backend.service(),
                 "want",
                 heads.get("Rv-Service"),
                 "stamp",
@@ -102,8 +103,8 @@
                 "key",
                 key,
                 "body",
-                Hash.digest(body)));
-        final String text = run ? stock.run(path, String.valueOf(key)) : stock.view(path);
+                Hash.sha256Hex(body)));
+        final String text = run ? backend.run(path, String.valueOf(key)) : backend.view(path);
         if (!fault.equals("lose")) {
             clock.schedule(
                     () -> send(res, done, run ? 201 : 200, text, String.valueOf(id)), slow, TimeUnit.MILLISECONDS);
@@ -117,7 +118,7 @@
         res.getHeaders().put("Content-Length", data.length);
         res.getHeaders().put("Rv-Stamp", stamp);
         res.getHeaders().put("Rv-Request", id);
-        res.getHeaders().put("Rv-Digest", Hash.digest(data));
+        res.getHeaders().put("Rv-Digest", Hash.sha256Hex(data));
         if (fault.equals("wrong") && !id.isEmpty()) {
             data[data.length - 2] ^= 1;
         }
--- a/testkit/src/main/java/org/rowanvalve/testkit/Originator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInOrigin.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.origin;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -16,39 +16,40 @@
 import org.eclipse.jetty.server.Server;
 import org.eclipse.jetty.server.ServerConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** One stand-in origin: it serves, announces itself, renews, and leaves. */
-public final class Originator {
+public final class StandInOrigin {
     private static final ThreadFactory QUIET = r -> {
         final Thread t = new Thread(r, "originator");
         t.setDaemon(true);
         return t;
     };
     private final String name;
-    private final Stock stock;
+    private final StandInBackend backend;
     private final String kind;
     private final String host;
     private final List<String> nodes;
-    private final Log log;
+    private final RunLog log;
     private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(2, QUIET);
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofMillis(800)).build();
     private final AtomicLong beat = new AtomicLong();
     private Server server;
-    private StandIn face;
+    private StandInHandler face;
     private int port;
     private volatile boolean on;
 
-    public Originator(
+    public StandInOrigin(
             final String name,
-            final Stock stock,
+            final StandInBackend backend,
             final String kind,
             final String host,
             final List<String> nodes,
-            final Log log) {
+            final RunLog log) {
         this.name = name;
-        this.stock = stock;
+        this.backend = backend;
         this.kind = kind;
         this.host = host;
         this.nodes = nodes;
@@ -61,7 +62,7 @@
 
     /** With fault {@code foreign} it is another service at the old address, and announces nothing. */
     public void start(final int at, final String fault) throws Exception {
-        face = new StandIn(name, UUID.randomUUID().toString().substring(0, 12), stock, log, clock);
+        face = new StandInHandler(name, UUID.randomUUID().toString().substring(0, 12), backend, log, clock);
         final QueuedThreadPool pool = new QueuedThreadPool(12, 2);
         pool.setDaemon(true);
         server = new Server(pool);
@@ -76,7 +77,7 @@
         face.fault(fault, 3);
         on = !fault.equals("foreign");
         beat.set(0);
-        final StandIn mine = face;
+        final StandInHandler mine = face;
         clock.execute(() -> round(mine));
     }
 
@@ -89,7 +90,7 @@
     }
 
     public String service() {
-        return stock.service();
+        return backend.service();
     }
 
     public String kind() {
@@ -104,11 +105,11 @@
         return nodes;
     }
 
-    public StandIn face() {
+    public StandInHandler face() {
         return face;
     }
 
-    private void round(final StandIn mine) {
+    private void round(final StandInHandler mine) {
         if (on && face == mine) {
             final boolean ok = announce(false) == 200;
             clock.schedule(() -> round(mine), ok ? 3000 : 300, TimeUnit.MILLISECONDS);
@@ -118,9 +119,9 @@
     private int announce(final boolean leaving) {
         final long n = beat.incrementAndGet();
         final String node = nodes.get((int) (n % nodes.size()));
-        final String body = Json.text(Log.row(
+        final String body = Json.write(RunLog.row(
                 "service",
-                stock.service(),
+                backend.service(),
                 "host",
                 host,
                 "port",
@@ -153,7 +154,7 @@
             Thread.currentThread().interrupt();
         }
         if (leaving || n == 1) {
-            log.add(Log.row(
+            log.add(RunLog.row(
                     "log",
                     "op",
                     "t",
@@ -165,7 +166,7 @@
                     "origin",
                     name,
                     "service",
-                    stock.service(),
+                    backend.service(),
                     "stamp",
                     face.stamp(),
                     "status",
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Stand-in origins over HTTP.
+ */
+package org.rowanvalve.testkit.origin;
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * The test kit's command line.
+ */
+package org.rowanvalve.testkit;
--- a/testkit/src/main/java/org/rowanvalve/testkit/Troubles.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/report/FaultImpact.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.report;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,15 +6,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.testkit.judge.Facts;
+import org.rowanvalve.testkit.judge.RunFacts;
 
 /** What each trouble did to those served and to the shards' fillers. */
-final class Troubles {
+final class FaultImpact {
     private static final long AFTER = 5000;
-    private final Facts facts;
+    private final RunFacts facts;
     private final List<long[]> gaps = new ArrayList<>();
 
-    Troubles(final Facts facts) {
+    FaultImpact(final RunFacts facts) {
         this.facts = facts;
         fold();
     }
@@ -23,31 +23,31 @@
     private void fold() {
         final Map<Long, String> holder = new HashMap<>();
         final Map<Long, Long> since = new HashMap<>();
-        final List<Facts.Row> all = new ArrayList<>(facts.of("node"));
+        final List<RunFacts.Row> all = new ArrayList<>(facts.of("node"));
         facts.of("rig").stream()
-                .filter(r -> List.of("kill", "lose-disk", "freeze").contains(r.text("what")))
+                .filter(row -> List.of("kill", "lose-disk", "freeze").contains(row.text("what")))
                 .forEach(all::add);
-        all.sort(java.util.Comparator.comparingLong(Facts.Row::t));
-        for (final Facts.Row r : all) {
-            final long shard = r.num("shard");
-            switch (r.text("name").isEmpty() ? "GONE" : r.text("name")) {
+        all.sort(java.util.Comparator.comparingLong(RunFacts.Row::t));
+        for (final RunFacts.Row row : all) {
+            final long shard = row.num("shard");
+            switch (row.text("name").isEmpty() ? "GONE" : row.text("name")) {
                 case "HELD" -> {
-                    holder.put(shard, r.text("node"));
+                    holder.put(shard, row.text("node"));
                     final Long from = since.remove(shard);
                     if (from != null) {
-                        gaps.add(new long[] {from, r.t(), shard});
+                        gaps.add(new long[] {from, row.t(), shard});
                     }
                 }
                 case "UNSURE", "FENCED" -> {
-                    if (r.text("node").equals(holder.get(shard))) {
+                    if (row.text("node").equals(holder.get(shard))) {
                         holder.remove(shard);
-                        since.put(shard, r.t());
+                        since.put(shard, row.t());
                     }
                 }
                 case "GONE" ->
-                    holder.entrySet().removeIf(e -> {
-                        if (e.getValue().equals(r.text("node"))) {
-                            since.put(e.getKey(), r.t());
+                    holder.entrySet().removeIf(entry -> {
+                        if (entry.getValue().equals(row.text("node"))) {
+                            since.put(entry.getKey(), row.t());
                             return true;
                         }
                         return false;
@@ -58,32 +58,32 @@
     }
 
     String text() {
-        final StringBuilder s = new StringBuilder();
+        final StringBuilder text = new StringBuilder();
         final Map<String, String> seen = new TreeMap<>();
-        for (final Facts.Row r : facts.of("rig")) {
-            final String what = r.text("what");
-            if (what.equals("start") || what.equals("returned") || seen.put(what + r.t(), "") != null) {
+        for (final RunFacts.Row row : facts.of("rig")) {
+            final String what = row.text("what");
+            if (what.equals("start") || what.equals("returned") || seen.put(what + row.t(), "") != null) {
                 continue;
             }
             final List<String> who = facts.of("rig").stream()
-                    .filter(o -> o.t() == r.t() && o.text("what").equals(what))
+                    .filter(o -> o.t() == row.t() && o.text("what").equals(what))
                     .map(o -> o.text("node"))
                     .toList();
-            s.append(String.format(
+            text.append(String.format(
                     Locale.ROOT,
                     "  %7d %-13s %-24s %s%n",
-                    r.t(),
+                    row.t(),
                     what,
                     who.size() > 4 ? who.size() + " machines" : String.join(",", who),
-                    line(r.t(), r.t() + Math.min(r.num("ms"), 20_000) + AFTER)));
+                    line(row.t(), row.t() + Math.min(row.num("ms"), 20_000) + AFTER)));
         }
-        return s.toString();
+        return text.toString();
     }
 
     private String line(final long from, final long to) {
         final Map<String, int[]> kinds = new TreeMap<>();
         final Map<Long, int[]> seconds = new TreeMap<>();
-        for (final Facts.Row q : facts.of("req")) {
+        for (final RunFacts.Row q : facts.of("req")) {
             if (q.t() >= from && q.t() < to) {
                 final int done = q.text("fate").equals("done") ? 1 : 0;
                 for (final int[] c : List.of(
@@ -94,8 +94,8 @@
                 }
             }
         }
-        final StringBuilder s = new StringBuilder();
-        kinds.forEach((k, c) -> s.append(String.format(Locale.ROOT, "%s %5.1f%%  ", k, 100.0 * c[1] / c[0])));
+        final StringBuilder text = new StringBuilder();
+        kinds.forEach((k, c) -> text.append(String.format(Locale.ROOT, "%s %5.1f%%  ", k, 100.0 * c[1] / c[0])));
         final int worst =
                 seconds.values().stream().mapToInt(c -> 100 * c[1] / c[0]).min().orElse(100);
         final long gap = gaps.stream()
@@ -103,6 +103,6 @@
                 .mapToLong(g -> g[1] - g[0])
                 .max()
                 .orElse(0);
-        return s + "worst " + worst + "%  gap " + gap + " ms";
+        return text + "worst " + worst + "%  gap " + gap + " ms";
     }
 }
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/report/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Figures of a run for people.
+ */
+package org.rowanvalve.testkit.report;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Herd.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNodes.java
@@ -12,26 +12,27 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Quorum;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.testkit.fleet.Fleet;
-import org.rowanvalve.testkit.fleet.Machine;
+import org.rowanvalve.testkit.fleet.FleetMachine;
 
 /** Hollow nodes in this process; the electors and one edge are processes of their own, or hollow too. */
-final class Herd implements AutoCloseable {
+final class LightweightNodes implements AutoCloseable {
     static final int REGIONS = 10;
     static final int ZONES = 29;
     private static final List<String> ELECTORS = List.of("st1", "st2", "sh1");
     private final Path dir;
-    private final Waves waves = new Waves();
-    private final Map<String, Machine> real = new LinkedHashMap<>();
-    private final Map<NodeId, Hollow> hollow = new TreeMap<>();
-    private final Hollow.Seat seat;
+    private final PropagationTracker waves = new PropagationTracker();
+    private final Map<String, FleetMachine> real = new LinkedHashMap<>();
+    private final Map<NodeId, LightweightNode> hollow = new TreeMap<>();
+    private final LightweightNode.Neighbour seat;
     private final int size;
     private final Thread hook = new Thread(this::reap, "reap");
 
-    Herd(final int size, final int shards, final boolean processes, final Path dir, final Path bin) throws IOException {
+    LightweightNodes(final int size, final int shards, final boolean processes, final Path dir, final Path bin)
+            throws IOException {
         this.size = size;
         this.dir = dir;
         Files.createDirectories(dir);
@@ -39,11 +40,11 @@
         final Map<NodeId, InetSocketAddress> seeds = new LinkedHashMap<>();
         for (final String e : ELECTORS) {
             final String host = net + (1 + ELECTORS.indexOf(e));
-            real.put(e, new Machine(e, host, Fleet.free(host), dir, bin));
+            real.put(e, new FleetMachine(e, host, Fleet.free(host), dir, bin));
             seeds.put(NodeId.of(e), new InetSocketAddress(host, real.get(e).wire()));
         }
-        real.put("ed1", new Machine("ed1", net + "4", Fleet.free(net + "4"), dir, bin));
-        seat = new Hollow.Seat(
+        real.put("ed1", new FleetMachine("ed1", net + "4", Fleet.free(net + "4"), dir, bin));
+        seat = new LightweightNode.Neighbour(
                 seeds,
                 new Quorum(List.copyOf(seeds.keySet()), Set.of(NodeId.of("st1"), NodeId.of("st2"))),
                 shards,
@@ -51,19 +52,19 @@
         final String line = String.join(
                 ",",
                 seeds.entrySet().stream()
-                        .map(e -> e.getKey() + "@" + e.getValue().getHostString() + ":"
-                                + e.getValue().getPort())
+                        .map(entry -> entry.getKey() + "@" + entry.getValue().getHostString() + ":"
+                                + entry.getValue().getPort())
                         .toList());
         Runtime.getRuntime().addShutdownHook(hook);
-        for (final Machine m : real.values()) {
+        for (final FleetMachine machine : real.values()) {
             if (processes) {
-                m.flags(List.of("--cell", "r0/z0", "--seeds", line, "--shards", String.valueOf(shards)));
-                m.start();
+                machine.flags(List.of("--cell", "r0/z0", "--seeds", line, "--shards", String.valueOf(shards)));
+                machine.start();
             }
         }
         if (!processes) {
             for (final String e : ELECTORS) {
-                final Hollow.Seat at = new Hollow.Seat(
+                final LightweightNode.Neighbour at = new LightweightNode.Neighbour(
                         seat.seeds(), seat.quorum(), shards, real.get(e).host());
                 add(
                         NodeId.of(e),
@@ -91,13 +92,16 @@
         return "r" + zone % REGIONS + "/z" + zone;
     }
 
-    private void add(final NodeId id, final Role role, final String cell, final Hollow.Seat at, final int port)
+    private void add(
+            final NodeId id, final Role role, final String cell, final LightweightNode.Neighbour at, final int port)
             throws IOException {
         hollow.put(
-                id, new Hollow(id, role, cell, Long.toHexString(System.nanoTime()), at, port, i -> waves.hit(i, id)));
+                id,
+                new LightweightNode(
+                        id, role, cell, Long.toHexString(System.nanoTime()), at, port, item -> waves.hit(item, id)));
     }
 
-    Waves waves() {
+    PropagationTracker waves() {
         return waves;
     }
 
@@ -109,20 +113,20 @@
         return seat.quorum().voters();
     }
 
-    Map<String, Machine> real() {
+    Map<String, FleetMachine> real() {
         return real;
     }
 
-    List<Hollow> up() {
-        return hollow.values().stream().filter(Hollow::up).toList();
+    List<LightweightNode> up() {
+        return hollow.values().stream().filter(LightweightNode::up).toList();
     }
 
-    List<Hollow> up(final Predicate<Hollow> which) {
+    List<LightweightNode> up(final Predicate<LightweightNode> which) {
         return up().stream().filter(which).toList();
     }
 
     /** At once, as by loss of power. */
-    void end(final List<Hollow> which) {
+    void end(final List<LightweightNode> which) {
         which.forEach(h -> {
             h.stop();
             waves.gone(h.id());
@@ -130,17 +134,17 @@
     }
 
     /** Anew, with the same names at other addresses. */
-    void begin(final List<Hollow> which) throws IOException {
-        for (final Hollow h : which) {
-            add(h.id(), h.role(), h.node().setup().self().cell(), seat, 0);
+    void begin(final List<LightweightNode> which) throws IOException {
+        for (final LightweightNode h : which) {
+            add(h.id(), h.role(), h.node().settings().self().location(), seat, 0);
         }
     }
 
     /** Milliseconds until every one of them says yes, or -1 where one does not within {@code most}. */
-    static long until(final List<Hollow> which, final long most, final Predicate<Hollow> yes)
+    static long until(final List<LightweightNode> which, final long most, final Predicate<LightweightNode> yes)
             throws InterruptedException {
         final long from = System.nanoTime();
-        List<Hollow> left = new ArrayList<>(which);
+        List<LightweightNode> left = new ArrayList<>(which);
         while (!left.isEmpty()) {
             left = new ArrayList<>(left.stream().filter(yes.negate()).toList());
             final long ms = (System.nanoTime() - from) / 1_000_000;
@@ -156,15 +160,18 @@
     }
 
     /** It has a confirmed frame and hears of all. */
-    boolean settled(final Hollow h) {
-        return h.see(n -> n.sync().fresh() && n.roster().live().size() >= size, false);
+    boolean settled(final LightweightNode h) {
+        return h.see(
+                node -> node.viewSynchronizer().isFresh()
+                        && node.membership().liveMembers().size() >= size,
+                false);
     }
 
     private void reap() {
-        hollow.values().forEach(Hollow::stop);
-        for (final Machine m : real.values()) {
+        hollow.values().forEach(LightweightNode::stop);
+        for (final FleetMachine machine : real.values()) {
             try {
-                m.kill();
+                machine.kill();
             } catch (final InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -174,7 +181,7 @@
     @Override
     public void close() throws IOException {
         reap();
-        Machine.wipe(dir);
+        FleetMachine.wipe(dir);
         Runtime.getRuntime().removeShutdownHook(hook);
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Room.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/MachineCapacity.java
@@ -8,15 +8,15 @@
 import java.util.Locale;
 
 /** What a machine has, and whether a number of hollow nodes fits into half of it. */
-record Room(long memoryMb, long heapMb, long files, long threads, double cores) {
+record MachineCapacity(long memoryMb, long heapMb, long files, long threads, double cores) {
     private static final double NODE_MB = 0.6;
     private static final double PEER_MB = 0.0025;
     private static final double REST_MB = 900;
     private static final double NODE_CORE = 0.01;
     private static final int NODE_FILES = 24;
 
-    static Room here() throws IOException {
-        return new Room(
+    static MachineCapacity here() throws IOException {
+        return new MachineCapacity(
                 number(Path.of("/proc/meminfo"), "MemTotal:", 2L << 20) / 1024,
                 Runtime.getRuntime().maxMemory() >> 20,
                 number(Path.of("/proc/self/limits"), "Max open files", 1024),
@@ -48,7 +48,7 @@
                 list,
                 nodes,
                 "open files",
-                (double) nodes * NODE_FILES + 2.0 * Herd.shields(nodes) * Herd.shields(nodes),
+                (double) nodes * NODE_FILES + 2.0 * LightweightNodes.shields(nodes) * LightweightNodes.shields(nodes),
                 files,
                 "allowed to this process");
         less(list, nodes, "threads", 2.0 * nodes, threads / 2.0, "half of this machine's " + threads);
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Tally.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/MessageTally.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.server.Meter;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.server.net.TrafficMeter;
 
 /** Frames and bytes of one node, by kind of message. */
-final class Tally implements Meter {
+final class MessageTally implements TrafficMeter {
     private final Map<String, Cell> cells = new ConcurrentHashMap<>();
     private volatile long wire;
 
@@ -27,19 +27,19 @@
         }
     }
 
-    private void add(final String way, final Msg msg, final int bytes) {
+    private void add(final String way, final Message msg, final int bytes) {
         final Cell c = cells.computeIfAbsent(way + msg.getClass().getSimpleName(), k -> new Cell());
         c.frames.increment();
         c.bytes.add(bytes);
     }
 
     @Override
-    public void out(final Msg msg, final int bytes) {
+    public void onSent(final Message msg, final int bytes) {
         add("out ", msg, bytes);
     }
 
     @Override
-    public void in(final Msg msg, final int bytes) {
+    public void onReceived(final Message msg, final int bytes) {
         wire = Thread.currentThread().getId();
         add("in ", msg, bytes);
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Waves.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/PropagationTracker.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
 
 /** How long purges and configurations take from their statement until each node, and all nodes, hold them. */
-final class Waves {
+final class PropagationTracker {
     private final Map<String, Wave> open = new ConcurrentHashMap<>();
     private final Histogram each = new ConcurrentHistogram(60_000_000, 3);
     private final Histogram all = new ConcurrentHistogram(60_000_000, 3);
@@ -20,7 +20,7 @@
 
     /** Of purges the body, since one name may be purged again; else the name. */
     static String key(final Item item) {
-        return item.id().kind() == Kind.PURGE ? item.body() : item.id().text();
+        return item.id().kind() == ItemKind.PURGE ? item.body() : item.id().text();
     }
 
     void begin(final String key, final Collection<NodeId> nodes) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Load.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ResourceUsage.java
@@ -6,16 +6,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import org.rowanvalve.testkit.fleet.Machine;
+import org.rowanvalve.testkit.fleet.FleetMachine;
 
 /** Processor time and memory of threads, processes and the whole machine. */
-final class Load {
+final class ResourceUsage {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private Load() {}
+    private ResourceUsage() {}
 
     /** Milliseconds of processor time that a hollow node's two threads have had. */
-    static double node(final Hollow h) {
+    static double node(final LightweightNode h) {
         return (thread(h.core()) + thread(h.tally().wire())) / 1e6;
     }
 
@@ -28,13 +28,13 @@
         return line.substring(line.lastIndexOf(')') + 2).split(" ");
     }
 
-    static double process(final Machine m) throws IOException {
-        final String[] f = m.alive() ? stat(m.pid()) : new String[0];
+    static double process(final FleetMachine machine) throws IOException {
+        final String[] f = machine.alive() ? stat(machine.pid()) : new String[0];
         return f.length < 13 ? 0 : 10.0 * (Long.parseLong(f[11]) + Long.parseLong(f[12]));
     }
 
-    static double residentMb(final Machine m) throws IOException {
-        return m.alive() ? Long.parseLong(stat(m.pid())[21]) * 4096 / 1048576.0 : 0;
+    static double residentMb(final FleetMachine machine) throws IOException {
+        return machine.alive() ? Long.parseLong(stat(machine.pid())[21]) * 4096 / 1048576.0 : 0;
     }
 
     static double heapMb() {
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Scale.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleRun.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** Hollow nodes in steps of size: what each size costs, and the slope of each figure over the sizes. */
-public final class Scale {
+public final class ScaleRun {
     private static final List<String> CHARTED = List.of(
             "edge_bytes_s",
             "edge_messages_s",
@@ -25,7 +25,7 @@
     private final Path dir;
     private final Path bin;
 
-    public Scale(final List<Integer> sizes, final int shards, final long seconds, final Path dir, final Path bin) {
+    public ScaleRun(final List<Integer> sizes, final int shards, final long seconds, final Path dir, final Path bin) {
         this.sizes = List.copyOf(sizes);
         this.shards = shards;
         this.seconds = seconds;
@@ -48,7 +48,8 @@
 
     /** What this machine lacks for the greatest size. */
     public List<String> lacks() throws IOException {
-        return Room.here().lacks(sizes.stream().mapToInt(i -> i).max().orElse(0));
+        return MachineCapacity.here()
+                .lacks(sizes.stream().mapToInt(i -> i).max().orElse(0));
     }
 
     /** 0 where every size settled and every statement arrived everywhere. */
@@ -57,8 +58,8 @@
         final List<Map<String, Double>> rows = new ArrayList<>();
         final StringBuilder kinds = new StringBuilder("nodes,kind,edge_bytes_s\n");
         for (final int n : sizes) {
-            try (Herd herd = new Herd(n, shards, true, dir.resolve("run-" + n), bin)) {
-                final Step step = new Step(herd, seconds);
+            try (LightweightNodes herd = new LightweightNodes(n, shards, true, dir.resolve("run-" + n), bin)) {
+                final ScaleStep step = new ScaleStep(herd, seconds);
                 rows.add(step.run());
                 step.kinds().forEach((k, v) -> kinds.append(String.format(Locale.ROOT, "%d,%s,%.1f%n", n, k, v)));
                 System.out.println("step " + rows.get(rows.size() - 1));
@@ -66,7 +67,7 @@
         }
         final List<String> csv =
                 new ArrayList<>(List.of(String.join(",", rows.get(0).keySet())));
-        rows.forEach(r -> csv.add(Step.line(r)));
+        rows.forEach(r -> csv.add(ScaleStep.line(r)));
         Files.write(dir.resolve("scale.csv"), csv);
         Files.writeString(dir.resolve("kinds.csv"), kinds);
         final Map<String, double[]> slopes = slopes(rows);
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Step.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
@@ -9,33 +9,33 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Purge;
-import org.rowanvalve.testkit.fleet.Machine;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.fleet.FleetMachine;
 
 /** One size: at rest, under purges and configurations, through a rolled zone, and after a cut. */
-final class Step {
+final class ScaleStep {
     private static final long PAUSE = 140;
     private static final int MISSED = 200;
-    private final Herd herd;
+    private final LightweightNodes herd;
     private final long seconds;
     private final Map<String, Double> row = new LinkedHashMap<>();
     private final Map<String, Double> kinds = new TreeMap<>();
     private int serial;
     private volatile int refused;
 
-    Step(final Herd herd, final long seconds) {
+    ScaleStep(final LightweightNodes herd, final long seconds) {
         this.herd = herd;
         this.seconds = seconds;
     }
 
-    private record Shot(
+    private record Snapshot(
             long at,
-            Map<NodeId, Map<String, Tally.Count>> counts,
+            Map<NodeId, Map<String, MessageTally.Count>> counts,
             Map<NodeId, Double> cpu,
             Map<NodeId, String> lives,
             Map<String, Double> process,
@@ -44,13 +44,13 @@
     /** The columns of one line, in order. */
     Map<String, Double> run() throws IOException, InterruptedException {
         row.put("nodes", (double) herd.size());
-        row.put("settled_ms", (double) Herd.until(herd.up(), 60_000, herd::settled));
+        row.put("settled_ms", (double) LightweightNodes.until(herd.up(), 60_000, herd::settled));
         settle();
         rest();
-        row.put("heap_mb_node", Load.heapMb() / herd.up().size());
-        final Shot one = shot();
+        row.put("heap_mb_node", ResourceUsage.heapMb() / herd.up().size());
+        final Snapshot one = shot();
         purges(Math.max(1, (int) (seconds * 1000 / PAUSE)), true);
-        final Shot two = shot();
+        final Snapshot two = shot();
         window("purged_", one, two);
         kinds("purged ", one, two);
         times("purge_");
@@ -71,7 +71,7 @@
         long epoch = -1;
         for (int i = 0; i < 6; i++) {
             TimeUnit.SECONDS.sleep(3);
-            final long now = door().see(n -> n.view().plan().epoch(), -1L);
+            final long now = door().see(node -> node.configuration().plan().epoch(), -1L);
             if (now > 0 && now == epoch) {
                 return;
             }
@@ -80,93 +80,95 @@
     }
 
     private void rest() throws IOException, InterruptedException {
-        final Shot one = shot();
+        final Snapshot one = shot();
         TimeUnit.SECONDS.sleep(seconds);
-        final Shot two = shot();
+        final Snapshot two = shot();
         window("", one, two);
         kinds("rest ", one, two);
     }
 
-    private void kinds(final String name, final Shot one, final Shot two) {
+    private void kinds(final String name, final Snapshot one, final Snapshot two) {
         final double s = (two.at() - one.at()) / 1e9;
-        final List<NodeId> doors = doors().stream().map(Hollow::id).toList();
-        final List<NodeId> edges =
-                ids(Role.EDGE, two).stream().filter(n -> !doors.contains(n)).toList();
-        edges.forEach(n -> Tally.less(two.counts().get(n), one.counts().getOrDefault(n, Map.of()))
+        final List<NodeId> doors = doors().stream().map(LightweightNode::id).toList();
+        final List<NodeId> edges = ids(Role.EDGE, two).stream()
+                .filter(node -> !doors.contains(node))
+                .toList();
+        edges.forEach(node -> MessageTally.less(
+                        two.counts().get(node), one.counts().getOrDefault(node, Map.of()))
                 .forEach((k, c) -> kinds.merge(name + k, c.bytes() / s / edges.size(), Double::sum)));
     }
 
-    private List<NodeId> ids(final Role role, final Shot shot) {
+    private List<NodeId> ids(final Role role, final Snapshot shot) {
         return herd.up(h -> h.role() == role && shot.counts().containsKey(h.id())).stream()
-                .map(Hollow::id)
+                .map(LightweightNode::id)
                 .toList();
     }
 
-    private Shot shot() throws IOException {
-        final Map<NodeId, Map<String, Tally.Count>> counts = new HashMap<>();
+    private Snapshot shot() throws IOException {
+        final Map<NodeId, Map<String, MessageTally.Count>> counts = new HashMap<>();
         final Map<NodeId, Double> cpu = new HashMap<>();
         final Map<NodeId, String> lives = new HashMap<>();
         final Map<String, Double> process = new LinkedHashMap<>();
         herd.up().forEach(h -> {
             counts.put(h.id(), h.tally().counts());
-            cpu.put(h.id(), Load.node(h));
-            lives.put(h.id(), h.node().setup().self().boot());
+            cpu.put(h.id(), ResourceUsage.node(h));
+            lives.put(h.id(), h.node().settings().self().incarnation());
         });
-        for (final Machine m : herd.real().values()) {
-            process.put(m.name(), Load.process(m));
+        for (final FleetMachine machine : herd.real().values()) {
+            process.put(machine.name(), ResourceUsage.process(machine));
         }
-        return new Shot(System.nanoTime(), counts, cpu, lives, process, Load.machine());
+        return new Snapshot(System.nanoTime(), counts, cpu, lives, process, ResourceUsage.machine());
     }
 
-    private void window(final String name, final Shot one, final Shot two) throws IOException {
+    private void window(final String name, final Snapshot one, final Snapshot two) throws IOException {
         final double s = (two.at() - one.at()) / 1e9;
-        final List<NodeId> doors = doors().stream().map(Hollow::id).toList();
+        final List<NodeId> doors = doors().stream().map(LightweightNode::id).toList();
         for (final String role : List.of("edge", "shield", "door")) {
             final List<NodeId> ids = ids(role.equals("shield") ? Role.SHIELD : Role.EDGE, two).stream()
-                    .filter(n -> doors.contains(n) == role.equals("door")
-                            && one.lives().get(n).equals(two.lives().get(n)))
+                    .filter(node -> doors.contains(node) == role.equals("door")
+                            && one.lives().get(node).equals(two.lives().get(node)))
                     .toList();
-            final Tally.Count sum = ids.stream()
-                    .map(n -> Tally.sum(
-                            Tally.less(two.counts().get(n), one.counts().getOrDefault(n, Map.of()))))
-                    .reduce(new Tally.Count(0, 0), Tally.Count::plus);
+            final MessageTally.Count sum = ids.stream()
+                    .map(node -> MessageTally.sum(MessageTally.less(
+                            two.counts().get(node), one.counts().getOrDefault(node, Map.of()))))
+                    .reduce(new MessageTally.Count(0, 0), MessageTally.Count::plus);
             final double cpu = ids.stream()
-                    .mapToDouble(n -> two.cpu().get(n) - one.cpu().getOrDefault(n, 0.0))
+                    .mapToDouble(node -> two.cpu().get(node) - one.cpu().getOrDefault(node, 0.0))
                     .sum();
             row.put(name + role + "_messages_s", sum.frames() / s / ids.size());
             row.put(name + role + "_bytes_s", sum.bytes() / s / ids.size());
             row.put(name + role + "_cpu_percent", cpu / s / 10 / ids.size());
         }
-        for (final Machine m : herd.real().values()) {
+        for (final FleetMachine machine : herd.real().values()) {
             row.put(
-                    name + m.name() + "_cpu_percent",
-                    (two.process().get(m.name()) - one.process().get(m.name())) / s / 10);
-            row.put(name + m.name() + "_resident_mb", Load.residentMb(m));
+                    name + machine.name() + "_cpu_percent",
+                    (two.process().get(machine.name()) - one.process().get(machine.name())) / s / 10);
+            row.put(name + machine.name() + "_resident_mb", ResourceUsage.residentMb(machine));
         }
         row.put(name + "machine_busy_cores", (two.machine() - one.machine()) / s / 1000);
     }
 
     /** Operators come to three edges. */
-    private List<Hollow> doors() {
+    private List<LightweightNode> doors() {
         return herd.up(h -> h.role() == Role.EDGE && !h.cut()).stream().limit(3).toList();
     }
 
-    private Hollow door() {
+    private LightweightNode door() {
         return doors().get(serial % doors().size());
     }
 
     private List<NodeId> reach() {
-        return herd.up(h -> !h.cut()).stream().map(Hollow::id).toList();
+        return herd.up(h -> !h.cut()).stream().map(LightweightNode::id).toList();
     }
 
     private void purge(final boolean timed) {
-        final Purge p = new Purge(null, "/page/" + serial++, null, "shop.example", null);
-        final String key = Json.text(p);
-        final Hollow at = door();
+        final Purge purge = new Purge(null, "/page/" + serial++, null, "shop.example", null);
+        final String key = Json.write(purge);
+        final LightweightNode at = door();
         if (timed) {
             herd.waves().begin(key, reach());
         }
-        at.loop().post(() -> at.node().orders().purge(p, said -> said(key, said.status())));
+        at.loop().execute(() -> at.node().updateService().purge(purge, said -> said(key, said.status())));
     }
 
     private void said(final String key, final int status) {
@@ -202,13 +204,13 @@
 
     private void configs() throws InterruptedException {
         for (int i = 0; i < 5; i++) {
-            final ItemId id = new ItemId(Kind.SERVICE, "store-" + serial++);
-            final Hollow at = door();
+            final ItemId id = new ItemId(ItemKind.SERVICE, "store-" + serial++);
+            final LightweightNode at = door();
             herd.waves().begin(id.text(), reach());
             at.loop()
-                    .post(() -> at.node()
-                            .clerk()
-                            .put(
+                    .execute(() -> at.node()
+                            .configurationService()
+                            .putItem(
                                     id,
                                     "{\"kind\":\"content\",\"rate\":50}".getBytes(StandardCharsets.UTF_8),
                                     0,
@@ -221,18 +223,21 @@
 
     /** All of one zone that are not doors or electors end at once and come back, while purges go on. */
     private void zone() throws IOException, InterruptedException {
-        final String cell = Herd.cell(5);
-        final List<Hollow> zone = herd.up(h ->
-                h.node().setup().self().cell().equals(cell) && !herd.electors().contains(h.id()));
-        final Shot one = shot();
+        final String cell = LightweightNodes.cell(5);
+        final List<LightweightNode> zone =
+                herd.up(h -> h.node().settings().self().location().equals(cell)
+                        && !herd.electors().contains(h.id()));
+        final Snapshot one = shot();
         purges(3, true);
         herd.end(zone);
         purges(7, true);
         herd.begin(zone);
         purges(1, true);
         row.put("zone_nodes", (double) zone.size());
-        final List<NodeId> ids = zone.stream().map(Hollow::id).toList();
-        row.put("zone_back_ms", PAUSE + (double) Herd.until(herd.up(h -> ids.contains(h.id())), 20_000, herd::settled));
+        final List<NodeId> ids = zone.stream().map(LightweightNode::id).toList();
+        row.put(
+                "zone_back_ms",
+                PAUSE + (double) LightweightNodes.until(herd.up(h -> ids.contains(h.id())), 20_000, herd::settled));
         purges(3, true);
         window("zone_", one, shot());
         times("zone_purge_");
@@ -240,34 +245,37 @@
 
     /** A region hears nothing while purges are stated as fast as they are taken; then it has to learn them all. */
     private void cut() throws IOException, InterruptedException {
-        final List<Hollow> region = herd.up(h -> h.node().setup().self().cell().startsWith("r3/")
-                && !herd.electors().contains(h.id()));
+        final List<LightweightNode> region =
+                herd.up(h -> h.node().settings().self().location().startsWith("r3/")
+                        && !herd.electors().contains(h.id()));
         region.forEach(h -> h.cut(true));
         final int from = serial;
         for (int i = 0; i < MISSED; i++) {
             purge(false);
             TimeUnit.MILLISECONDS.sleep(15);
         }
-        final Hollow near = door();
-        Herd.until(List.of(near), 5000, h -> h.see(n -> n.held().all().size(), 0) >= serial);
-        final int want = near.see(n -> n.held().all().size(), 0);
-        final Shot one = shot();
+        final LightweightNode near = door();
+        LightweightNodes.until(
+                List.of(near), 5000, h -> h.see(node -> node.items().all().size(), 0) >= serial);
+        final int want = near.see(node -> node.items().all().size(), 0);
+        final Snapshot one = shot();
         region.forEach(h -> h.cut(false));
         row.put("cut_nodes", (double) region.size());
         row.put("cut_missed", (double) serial - from);
-        row.put("cut_healed_ms", (double) Herd.until(
+        row.put("cut_healed_ms", (double) LightweightNodes.until(
                 region,
                 20_000,
-                h -> h.see(n -> n.sync().fresh() && n.held().all().size() >= want, false)));
-        final Shot two = shot();
+                h -> h.see(
+                        node -> node.viewSynchronizer().isFresh()
+                                && node.items().all().size() >= want,
+                        false)));
+        final Snapshot two = shot();
         final double bytes = region.stream()
-                .mapToDouble(h -> Tally.less(
-                                two.counts().get(h.id()), one.counts().get(h.id()))
-                        .entrySet()
-                        .stream()
-                        .filter(e -> e.getKey().equals("in Give"))
-                        .mapToDouble(e -> e.getValue().bytes())
-                        .sum())
+                .mapToDouble(h ->
+                        MessageTally.less(two.counts().get(h.id()), one.counts().get(h.id())).entrySet().stream()
+                                .filter(entry -> entry.getKey().equals("in Give"))
+                                .mapToDouble(entry -> entry.getValue().bytes())
+                                .sum())
                 .sum();
         row.put("cut_give_bytes_item", bytes / Math.max(1, region.size()) / (serial - from));
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/Place.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Deployment.java
@@ -1,17 +1,18 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.testkit.log.RunLog;
 
 /**
  * One deployment: its machines, its origins, its configuration and its mix of requests; {@code losses} shields may be
  * lost at once, and one that is back counts as lost for {@code catchUpMs} more.
  */
-public record Place(
+public record Deployment(
         String name,
         int edges,
         int shields,
@@ -71,8 +72,8 @@
         }
     }
 
-    public static Place kilimanjaro() {
-        return new Place(
+    public static Deployment kilimanjaro() {
+        return new Deployment(
                 "kilimanjaro",
                 11,
                 4,
@@ -113,8 +114,8 @@
                 0);
     }
 
-    public static Place coastline() {
-        return new Place(
+    public static Deployment coastline() {
+        return new Deployment(
                 "coastline",
                 9,
                 4,
@@ -156,8 +157,8 @@
     }
 
     /** No stores: three of four shields vote, each with a disk; rates hold for all origins of a service together. */
-    public static Place kilimanjaroShields() {
-        return new Place(
+    public static Deployment kilimanjaroShields() {
+        return new Deployment(
                 "kilimanjaro-shields",
                 6,
                 4,
@@ -192,8 +193,8 @@
                 CATCH_UP_MS);
     }
 
-    public static Place coastlineShields() {
-        return new Place(
+    public static Deployment coastlineShields() {
+        return new Deployment(
                 "coastline-shields",
                 6,
                 4,
@@ -241,11 +242,11 @@
     }
 
     /** Six shields in six zones of two regions: five of them vote, and two may be lost at once. */
-    public static Place coastlineSix() {
-        final Place p = coastlineShields();
-        return new Place(
+    public static Deployment coastlineSix() {
+        final Deployment deployment = coastlineShields();
+        return new Deployment(
                 "coastline-six",
-                p.edges(),
+                deployment.edges(),
                 6,
                 List.of(
                         "coast/burnaby",
@@ -254,34 +255,34 @@
                         "interior/kelowna",
                         "interior/kamloops",
                         "interior/vernon"),
-                p.regionMs(),
-                p.syncMs(),
-                p.perSecond(),
-                p.kin(),
-                p.hasty(),
-                p.shieldRun(),
+                deployment.regionMs(),
+                deployment.syncMs(),
+                deployment.perSecond(),
+                deployment.kin(),
+                deployment.hasty(),
+                deployment.shieldRun(),
                 2,
                 6000);
     }
 
     /** The same with more shields. */
-    public static Place larger(final Place p, final int shields) {
-        return new Place(
-                p.name(),
-                p.edges(),
+    public static Deployment larger(final Deployment deployment, final int shields) {
+        return new Deployment(
+                deployment.name(),
+                deployment.edges(),
                 shields,
-                p.cells(),
-                p.regionMs(),
-                p.syncMs(),
-                p.perSecond(),
-                p.kin(),
-                p.hasty(),
-                p.shieldRun(),
+                deployment.cells(),
+                deployment.regionMs(),
+                deployment.syncMs(),
+                deployment.perSecond(),
+                deployment.kin(),
+                deployment.hasty(),
+                deployment.shieldRun(),
                 shields < 6 ? 1 : 2,
-                p.catchUpMs());
+                deployment.catchUpMs());
     }
 
-    public static Place of(final String name) {
+    public static Deployment of(final String name) {
         return switch (name) {
             case "kilimanjaro" -> kilimanjaro();
             case "coastline" -> coastline();
@@ -352,14 +353,14 @@
     }
 
     public String config() {
-        final Map<String, Object> services = Log.row();
-        final Map<String, Object> routes = Log.row();
+        final Map<String, Object> services = RunLog.row();
+        final Map<String, Object> routes = RunLog.row();
         for (final Kin k : kin) {
             services.put(
                     k.service(),
-                    k.rate() > 0 ? Log.row("kind", k.kind(), "rate", k.rate()) : Log.row("kind", k.kind()));
+                    k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind()));
             for (final EdgeRouting w : k.ways()) {
-                final Map<String, Object> r = Log.row(
+                final Map<String, Object> r = RunLog.row(
                         "prefix", w.prefix(), "service", k.service(), "mode", w.mode(), "purgeable", w.purgeable());
                 if (w.mode().equals("cached")) {
                     r.put("lifetimeMs", w.lifetimeMs());
@@ -367,7 +368,7 @@
                 routes.put(w.route(), r);
             }
         }
-        return Json.text(Log.row("services", services, "routes", routes));
+        return Json.write(RunLog.row("services", services, "routes", routes));
     }
 
     public List<EdgeRouting> ways() {
--- a/testkit/src/main/java/org/rowanvalve/testkit/TroubleDraw.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/FaultGenerator.java
@@ -1,27 +1,28 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeSet;
-import org.rowanvalve.testkit.Script.Step;
+import org.rowanvalve.testkit.scenario.Scenario.Step;
 
 /** One trouble from chance: whom it strikes, for how long, in which variant. */
-final class TroubleDraw {
+final class FaultGenerator {
     private static final long CLOSING_MS = 3000;
 
-    private TroubleDraw() {}
+    private FaultGenerator() {}
 
-    static String disk(final Place place, final Random random) {
-        return place.shieldRun()
-                ? place.disks().get(random.nextInt(place.disks().size()))
+    static String disk(final Deployment deployment, final Random random) {
+        return deployment.shieldRun()
+                ? deployment.disks().get(random.nextInt(deployment.disks().size()))
                 : random.nextBoolean() ? "st1" : "st2";
     }
 
-    static Step draw(final Place place, final Random random, final String what, final long at) {
-        final List<String> from = Script.ORIGINS.contains(what) ? place.origins() : place.machines();
-        final String one = Script.DISKS.contains(what) ? disk(place, random) : from.get(random.nextInt(from.size()));
+    static Step draw(final Deployment deployment, final Random random, final String what, final long at) {
+        final List<String> from = Scenario.ORIGINS.contains(what) ? deployment.origins() : deployment.machines();
+        final String one =
+                Scenario.DISKS.contains(what) ? disk(deployment, random) : from.get(random.nextInt(from.size()));
         return switch (what) {
             case "kill", "restart", "power", "ack-kill" ->
                 new Step(
@@ -30,24 +31,24 @@
                         List.of(random.nextInt(3) == 0 ? "authority" : one),
                         1000 + random.nextInt(9000),
                         0,
-                        calls(place, random, what));
+                        calls(deployment, random, what));
             case "ack-lost" ->
                 new Step(at, what, List.of(), 4000 + random.nextInt(6000), 0.7 + random.nextInt(21) / 100.0);
             case "clock-step" ->
                 new Step(
                         at,
                         what,
-                        some(place.machines(), random, 0.3),
+                        some(deployment.machines(), random, 0.3),
                         2000 + random.nextInt(6000),
                         500 + random.nextInt(3500),
                         Set.of(random.nextBoolean() ? "back" : "ahead"));
             case "disk-slow" -> new Step(at, what, List.of(one), 3000 + random.nextInt(5000), 30);
-            case "reset-conns" -> new Step(at, what, some(place.machines(), random, 0.2), 0, 0.5);
+            case "reset-conns" -> new Step(at, what, some(deployment.machines(), random, 0.2), 0, 0.5);
             case "core-cut" ->
                 new Step(
                         at,
                         what,
-                        counted(place, random),
+                        counted(deployment, random),
                         random.nextInt(3) == 0 ? 20_000 : 2000 + random.nextInt(8000),
                         0,
                         variants(random, "one-way", "both", "seeds", "meet", "race", "hard"));
@@ -57,7 +58,7 @@
                         what,
                         acker(random),
                         1000 + random.nextInt(5000),
-                        1 + random.nextInt(place.losses()),
+                        1 + random.nextInt(deployment.losses()),
                         moment(random, "kill"));
             case "after-ack-wipe" ->
                 new Step(
@@ -65,9 +66,9 @@
                         what,
                         acker(random),
                         500 + random.nextInt(3000),
-                        1 + random.nextInt(place.losses()),
+                        1 + random.nextInt(deployment.losses()),
                         moment(random));
-            case "roll" -> roll(place, random, at);
+            case "roll" -> roll(deployment, random, at);
             case "replace-core" ->
                 new Step(
                         at,
@@ -85,22 +86,22 @@
                 new Step(
                         at,
                         what,
-                        List.of(place.shieldRun() && random.nextInt(3) == 0 ? "authority" : one),
+                        List.of(deployment.shieldRun() && random.nextInt(3) == 0 ? "authority" : one),
                         500 + random.nextInt(3000),
                         0);
             case "blackout" -> new Step(at, what, List.of(one), 1000 + random.nextInt(3000), 0);
             case "drift" ->
                 new Step(at, what, List.of(one), 12_000 + random.nextInt(8000), random.nextBoolean() ? 0.8 : 1.25);
             case "freeze" ->
-                new Step(at, what, List.of(one), 300 + random.nextInt(9000), 0, calls(place, random, what));
+                new Step(at, what, List.of(one), 300 + random.nextInt(9000), 0, calls(deployment, random, what));
             case "cut" ->
                 new Step(
                         at,
                         what,
-                        random.nextBoolean() ? List.of(one) : bearable(place, random),
+                        random.nextBoolean() ? List.of(one) : bearable(deployment, random),
                         1000 + random.nextInt(9000),
                         0,
-                        calls(place, random, what));
+                        calls(deployment, random, what));
             case "slow" -> new Step(at, what, List.of(), 4000, 30 + random.nextInt(150));
             case "loss" -> new Step(at, what, List.of(), 4000, 0.02 + random.nextInt(8) / 100.0);
             case "surge" -> new Step(at, what, List.of(), 5000, 2 + random.nextInt(2));
@@ -111,12 +112,14 @@
     }
 
     /** All machines of a kind in turn; or one that leaves for good. */
-    private static Step roll(final Place place, final Random random, final long at) {
+    private static Step roll(final Deployment deployment, final Random random, final long at) {
         final Set<String> how = new TreeSet<>(variants(random, "busy"));
         final List<String> who;
         if (random.nextInt(3) == 0) {
             how.add("remove");
-            who = List.of(place.machines().get(random.nextInt(place.machines().size())));
+            who = List.of(deployment
+                    .machines()
+                    .get(random.nextInt(deployment.machines().size())));
         } else {
             who = List.of(random.nextInt(3) == 0 ? "all" : random.nextBoolean() ? "shields" : "edges");
         }
@@ -131,20 +134,21 @@
     }
 
     /** As many counted machines as may be lost at once, or fewer. */
-    private static List<String> counted(final Place place, final Random random) {
-        final List<String> all = new ArrayList<>(place.disks());
+    private static List<String> counted(final Deployment deployment, final Random random) {
+        final List<String> all = new ArrayList<>(deployment.disks());
         java.util.Collections.shuffle(all, random);
-        return List.copyOf(all.subList(0, 1 + random.nextInt(place.losses())));
+        return List.copyOf(all.subList(0, 1 + random.nextInt(deployment.losses())));
     }
 
     /** A third of all machines, with no more counted ones than may be lost at once. */
-    private static List<String> bearable(final Place place, final Random random) {
-        final List<String> drawn = new ArrayList<>(
-                place.machines().stream().filter(m -> random.nextInt(3) == 0).toList());
-        if (place.shieldRun()) {
+    private static List<String> bearable(final Deployment deployment, final Random random) {
+        final List<String> drawn = new ArrayList<>(deployment.machines().stream()
+                .filter(m -> random.nextInt(3) == 0)
+                .toList());
+        if (deployment.shieldRun()) {
             final List<String> shields =
                     drawn.stream().filter(m -> m.startsWith("sh")).toList();
-            drawn.removeAll(shields.subList(Math.min(place.losses(), shields.size()), shields.size()));
+            drawn.removeAll(shields.subList(Math.min(deployment.losses(), shields.size()), shields.size()));
         }
         return drawn;
     }
@@ -159,8 +163,8 @@
         return drawn;
     }
 
-    private static Set<String> calls(final Place place, final Random random, final String what) {
-        return Script.ways(place, what).contains("meet") && random.nextInt(3) == 0
+    private static Set<String> calls(final Deployment deployment, final Random random, final String what) {
+        return Scenario.ways(deployment, what).contains("meet") && random.nextInt(3) == 0
                 ? variants(random, "meet", "race", "hard")
                 : Set.of();
     }
@@ -180,10 +184,10 @@
     }
 
     /** Right after an order was acknowledged: all power, all processes, or as many disks as may be lost, alone or not. */
-    static List<Step> closing(final Place place, final Random random, final long seed) {
-        final List<String> disks = new ArrayList<>(place.disks());
+    static List<Step> closing(final Deployment deployment, final Random random, final long seed) {
+        final List<String> disks = new ArrayList<>(deployment.disks());
         java.util.Collections.shuffle(disks, random);
-        final List<String> lost = List.copyOf(disks.subList(0, place.losses()));
+        final List<String> lost = List.copyOf(disks.subList(0, deployment.losses()));
         return switch ((int) (seed % 4)) {
             case 0 -> List.of(new Step(0, "power", List.of("all"), CLOSING_MS, 0));
             case 1 -> List.of(new Step(0, "blackout", lost, CLOSING_MS, 0));
--- a/testkit/src/main/java/org/rowanvalve/testkit/Script.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package org.rowanvalve.testkit;
+package org.rowanvalve.testkit.scenario;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.control.JsonReader;
-import org.rowanvalve.control.JsonShape;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.control.json.JsonObjectReader;
+import org.rowanvalve.control.json.JsonReader;
 
 /** A day's troubles: what, whom, when, for how long. {@code closing}: what strikes once all others are over. */
-public record Script(String name, Place place, long seconds, List<Step> steps, List<Step> closing) {
+public record Scenario(String name, Deployment place, long seconds, List<Step> steps, List<Step> closing) {
     public static final Set<String> TROUBLES = Set.of(
             "kill",
             "power",
@@ -139,8 +139,8 @@
         }
     }
 
-    public Script(final String name, final Place place, final long seconds, final List<Step> steps) {
-        this(name, place, seconds, steps, List.of());
+    public Scenario(final String name, final Deployment deployment, final long seconds, final List<Step> steps) {
+        this(name, deployment, seconds, steps, List.of());
     }
 
     private static Set<String> with(final Set<String> some, final String... more) {
@@ -149,66 +149,67 @@
         return all;
     }
 
-    public static Set<String> troubles(final Place place) {
-        return place.shieldRun() ? SHIELDS : TROUBLES;
+    public static Set<String> troubles(final Deployment deployment) {
+        return deployment.shieldRun() ? SHIELDS : TROUBLES;
     }
 
     /** The variants of a trouble; those that state versions are of places whose shields vote. */
-    static Set<String> ways(final Place place, final String trouble) {
-        return place.shieldRun() ? WAYS.getOrDefault(trouble, Set.of()) : Set.of();
+    static Set<String> ways(final Deployment deployment, final String trouble) {
+        return deployment.shieldRun() ? WAYS.getOrDefault(trouble, Set.of()) : Set.of();
     }
 
-    public static Script read(final byte[] data, final List<Finding> faults) {
+    public static Scenario read(final byte[] data, final List<ValidationError> faults) {
         final Object o = JsonReader.read(data, faults);
-        final JsonShape s = new JsonShape(o, "", faults);
-        final String name = s.text("name", true, "");
-        final String place = s.word("place", Place.NAMES);
-        final long seconds = s.whole("seconds", true, 60, 1, 3600);
-        s.known("steps");
-        final Place at = Place.NAMES.contains(place) ? Place.of(place) : Place.kilimanjaro();
+        final JsonObjectReader object = new JsonObjectReader(o, "", faults);
+        final String name = object.text("name", true, "");
+        final String place = object.oneOf("place", Deployment.NAMES);
+        final long seconds = object.wholeNumber("seconds", true, 60, 1, 3600);
+        object.knownMembers("steps");
+        final Deployment at = Deployment.NAMES.contains(place) ? Deployment.of(place) : Deployment.kilimanjaro();
         final List<Step> steps = new ArrayList<>();
         if (o instanceof Map<?, ?> m && m.get("steps") instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
-                steps.add(step(new JsonShape(list.get(i), "/steps/" + i, faults), at, seconds));
+                steps.add(step(new JsonObjectReader(list.get(i), "/steps/" + i, faults), at, seconds));
             }
         } else {
-            s.fault("steps", "a list is wanted here");
+            object.addError("steps", "a list is wanted here");
         }
-        s.end();
-        return new Script(name, at, seconds, steps);
+        object.rejectUnknownMembers();
+        return new Scenario(name, at, seconds, steps);
     }
 
     private static List<String> list(final String text) {
         return Arrays.stream(text.split(",")).filter(w -> !w.isEmpty()).toList();
     }
 
-    private static Step step(final JsonShape s, final Place place, final long seconds) {
-        final String what = s.word("trouble", troubles(place));
-        final long at = s.whole("at", true, 0, 0, seconds * 1000);
-        final long ms = s.whole("ms", true, 0, 0, 3_600_000);
-        final double size = s.number("size", false, 0, 0, 1_000_000).doubleValue();
-        final List<String> who = list(s.text("who", !NOBODY.contains(what), ""));
+    private static Step step(final JsonObjectReader object, final Deployment deployment, final long seconds) {
+        final String what = object.oneOf("trouble", troubles(deployment));
+        final long at = object.wholeNumber("at", true, 0, 0, seconds * 1000);
+        final long ms = object.wholeNumber("ms", true, 0, 0, 3_600_000);
+        final double size = object.number("size", false, 0, 0, 1_000_000).doubleValue();
+        final List<String> who = list(object.text("who", !NOBODY.contains(what), ""));
         if (!NOBODY.contains(what)) {
-            targets(s, place, what, who);
+            targets(object, deployment, what, who);
         }
-        final List<String> how = list(s.text("how", false, ""));
+        final List<String> how = list(object.text("how", false, ""));
         how.stream()
-                .filter(h -> !ways(place, what).contains(h))
-                .forEach(h -> s.fault("how", what + " has no variant " + h));
-        s.end();
+                .filter(h -> !ways(deployment, what).contains(h))
+                .forEach(h -> object.addError("how", what + " has no variant " + h));
+        object.rejectUnknownMembers();
         return new Step(at, what, who, ms, size, Set.copyOf(how));
     }
 
-    private static void targets(final JsonShape s, final Place place, final String what, final List<String> who) {
-        final List<String> names = ORIGINS.contains(what) ? place.origins() : place.machines();
-        final Set<String> words = place.shieldRun() ? SHIELD_WORDS : WORDS;
+    private static void targets(
+            final JsonObjectReader object, final Deployment deployment, final String what, final List<String> who) {
+        final List<String> names = ORIGINS.contains(what) ? deployment.origins() : deployment.machines();
+        final Set<String> words = deployment.shieldRun() ? SHIELD_WORDS : WORDS;
         who.stream()
                 .filter(w -> !names.contains(w) && !words.contains(w))
-                .forEach(w -> s.fault("who", "no target is named " + w));
+                .forEach(w -> object.addError("who", "no target is named " + w));
         if (DISKS.contains(what)) {
             who.stream()
-                    .filter(w -> names.contains(w) && !place.disks().contains(w))
-                    .forEach(w -> s.fault("who", w + " has no disk"));
+                    .filter(w -> names.contains(w) && !deployment.disks().contains(w))
+                    .forEach(w -> object.addError("who", w + " has no disk"));
         }
     }
 }
--- /dev/null
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * Deployments, scenarios of faults, and their generation from seeds.
+ */
+package org.rowanvalve.testkit.scenario;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreTroubles.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreFaults.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.testkit.Script;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.testkit.scenario.Scenario;
 
 /** Troubles of the machines that count, in places whose shields vote: cuts among them, replacements, losses at answers. */
-final class CoreTroubles {
+final class CoreFaults {
     private static final long WAIT_MS = 100;
     private static final long LOOK_MS = 1;
     private static final long BUSY_AT_MOST_MS = 3000;
@@ -25,11 +25,11 @@
     private static final int FEWEST_EDGES = 3;
     private final SimCluster cluster;
 
-    CoreTroubles(final SimCluster cluster) {
+    CoreFaults(final SimCluster cluster) {
         this.cluster = cluster;
     }
 
-    private World world() {
+    private VirtualTime world() {
         return cluster.world();
     }
 
@@ -39,8 +39,8 @@
 
     private List<String> up(final Role role) {
         return cluster.nodes().values().stream()
-                .filter(n -> n.role() == role && n.alive())
-                .map(n -> n.id().text())
+                .filter(node -> node.role() == role && node.alive())
+                .map(node -> node.id().text())
                 .toList();
     }
 
@@ -57,25 +57,25 @@
     }
 
     /** The group hears nothing of the other shields, or with {@code one-way} is not heard by them. */
-    void coreCut(final List<String> group, final Script.Step s) {
+    void coreCut(final List<String> group, final Scenario.Step step) {
         final List<String> others =
                 shields().stream().filter(n -> !group.contains(n)).toList();
-        group.forEach(n -> cluster.trouble("core-cut", n, s.ms()));
-        group.forEach(n -> cluster.losses().lostFor(n, s.ms()));
+        group.forEach(n -> cluster.trouble("core-cut", n, step.ms()));
+        group.forEach(n -> cluster.losses().lostFor(n, step.ms()));
         final boolean deaf = random().nextBoolean();
-        if (!s.how("one-way") || deaf) {
-            cluster.sever(others, group, s.ms());
+        if (!step.how("one-way") || deaf) {
+            cluster.sever(others, group, step.ms());
         }
-        if (!s.how("one-way") || !deaf) {
-            cluster.sever(group, others, s.ms());
+        if (!step.how("one-way") || !deaf) {
+            cluster.sever(group, others, step.ms());
         }
-        if (s.how("seeds")) {
-            world().in(s.ms() / 4, () -> beginWith(group));
+        if (step.how("seeds")) {
+            world().in(step.ms() / 4, () -> beginWith(group));
         }
-        if (s.how("both")) {
+        if (step.how("both")) {
             final List<String> order = new ArrayList<>(group);
             order.addAll(others);
-            world().in(s.ms() / 4, () -> restartInTurn(order));
+            world().in(step.ms() / 4, () -> restartInTurn(order));
         }
     }
 
@@ -111,15 +111,15 @@
     }
 
     /** Gone for good, and an empty one comes at another address; planned: that one first, then an orderly stop. */
-    void replace(final String old, final Script.Step s, final Runnable done) {
-        cluster.trouble("replace-core", old, s.ms());
-        if (s.how("planned")) {
+    void replace(final String old, final Scenario.Step step, final Runnable done) {
+        cluster.trouble("replace-core", old, step.ms());
+        if (step.how("planned")) {
             cluster.add(old);
-            world().in(s.ms(), () -> leave(old, done));
+            world().in(step.ms(), () -> leave(old, done));
         } else {
             cluster.retire(old);
             nameOtherSeeds(old);
-            world().in(s.ms(), () -> {
+            world().in(step.ms(), () -> {
                 cluster.add(old);
                 done.run();
             });
@@ -150,7 +150,7 @@
     }
 
     /** Each in turn gets an orderly stop, and starts again or is gone for good. */
-    void roll(final List<String> names, final Script.Step s, final Runnable done) {
+    void roll(final List<String> names, final Scenario.Step step, final Runnable done) {
         final List<String> left = names.stream()
                 .filter(n -> cluster.nodes().containsKey(n) && cluster.node(n).alive())
                 .toList();
@@ -160,20 +160,20 @@
         }
         final String first = left.get(0);
         whenBearable(List.of(first), () -> {
-            if (s.how("busy")) {
-                whenBusy(first, world().now() + BUSY_AT_MOST_MS, () -> stopOne(first, s));
+            if (step.how("busy")) {
+                whenBusy(first, world().now() + BUSY_AT_MOST_MS, () -> stopOne(first, step));
             } else {
-                stopOne(first, s);
+                stopOne(first, step);
             }
-            world().in(s.ms(), () -> roll(left.subList(1, left.size()), s, done));
+            world().in(step.ms(), () -> roll(left.subList(1, left.size()), step, done));
         });
     }
 
-    private void stopOne(final String name, final Script.Step s) {
+    private void stopOne(final String name, final Scenario.Step step) {
         if (!cluster.nodes().containsKey(name) || !cluster.node(name).alive()) {
             return;
         }
-        if (s.how("remove") && maySpare(name)) {
+        if (step.how("remove") && maySpare(name)) {
             cluster.trouble("restart", name, 0);
             leave(name, () -> {});
         } else {
@@ -191,8 +191,8 @@
 
     /** While it answers a request, or at the latest by then. */
     private void whenBusy(final String name, final long latest, final Runnable then) {
-        final SimNode n = cluster.node(name);
-        if (!n.alive() || n.busy() || world().now() >= latest) {
+        final SimNode node = cluster.node(name);
+        if (!node.alive() || node.busy() || world().now() >= latest) {
             then.run();
         } else {
             world().in(LOOK_MS, () -> whenBusy(name, latest, then));
@@ -200,11 +200,11 @@
     }
 
     /** Right after an order was acknowledged, soon after one was sent, or right after a keyed request was accepted. */
-    void afterAck(final Script.Step s, final Runnable done) {
-        final Loss loss = new Loss(s, done);
-        if (s.how("taken")) {
+    void afterAck(final Scenario.Step step, final Runnable done) {
+        final Loss loss = new Loss(step, done);
+        if (step.how("taken")) {
             cluster.crowd().onceAccepted(loss::strike);
-        } else if (s.how("timed")) {
+        } else if (step.how("timed")) {
             cluster.orderOperator().change(loss::strikeSoon, (at, status) -> loss.missed());
         } else {
             cluster.orderOperator().change(at -> {}, (at, status) -> {
@@ -219,11 +219,11 @@
 
     /** Some machines lose power, their disk too, at a moment that one order or request gives. */
     private final class Loss {
-        private final Script.Step step;
+        private final Scenario.Step step;
         private final Runnable done;
         private boolean decided;
 
-        Loss(final Script.Step step, final Runnable done) {
+        Loss(final Scenario.Step step, final Runnable done) {
             this.step = step;
             this.done = done;
         }
@@ -286,16 +286,16 @@
     /** The time of day of a machine jumps, and back after a while. */
     void stepClock(final String name, final double by, final long ms) {
         cluster.trouble("clock-step", name, ms);
-        final SimNode n = cluster.node(name);
-        n.stepClock((long) by);
-        world().in(ms, () -> n.stepClock(-(long) by));
+        final SimNode node = cluster.node(name);
+        node.stepClock((long) by);
+        world().in(ms, () -> node.stepClock(-(long) by));
     }
 
     void slowDisk(final String name, final double times, final long ms) {
         cluster.trouble("disk-slow", name, ms);
-        final SimNode n = cluster.node(name);
-        n.disk().slow(times);
-        world().in(ms, () -> n.disk().slow(1));
+        final SimNode node = cluster.node(name);
+        node.disk().slow(times);
+        world().in(ms, () -> node.disk().slow(1));
     }
 
     /** A share of the named machines' circuits is reset, to each other and to origins. */
@@ -327,9 +327,9 @@
     }
 
     private void call(final String name, final Set<String> how) {
-        final SimNode n = cluster.nodes().get(name);
-        if (n != null && n.alive()) {
-            cluster.orderOperator().callAt(n, how);
+        final SimNode node = cluster.nodes().get(name);
+        if (node != null && node.alive()) {
+            cluster.orderOperator().callAt(node, how);
         }
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
@@ -6,28 +6,28 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Operators, and the back ends' own changes: objects change, some are purged, routes are restated, two race. */
-public final class ItemOperator implements Operators {
-    private final SimCluster town;
+public final class ItemOperator implements OperatorWorkload {
+    private final SimCluster cluster;
     private final Map<String, Long> known = new TreeMap<>();
     private boolean on;
     private long serial;
     private boolean shown;
 
-    ItemOperator(final SimCluster town) {
-        this.town = town;
+    ItemOperator(final SimCluster cluster) {
+        this.cluster = cluster;
     }
 
     @Override
     public void open() {
-        apply(town.place().config());
+        apply(cluster.place().config());
     }
 
     @Override
@@ -46,51 +46,53 @@
     }
 
     void apply(final String text) {
-        final long t = town.world().now();
-        final SimNode at = town.anyNode();
-        at.post(() -> at.node().clerk().apply(text.getBytes(StandardCharsets.UTF_8), s -> {
-            for (final Place.Kin k : town.place().kin()) {
-                town.log()
-                        .add(Log.row(
-                                "log",
-                                "op",
-                                "t",
-                                t,
-                                "end",
-                                town.world().now(),
-                                "what",
-                                "put",
-                                "item",
-                                "SERVICE/" + k.service(),
-                                "service",
-                                k.service(),
-                                "kind",
-                                k.kind(),
-                                "rate",
-                                k.rate(),
-                                "status",
-                                s.status(),
-                                "version",
-                                1));
-                k.ways()
-                        .forEach(w -> town.log()
-                                .add(Log.row(
+        final long t = cluster.world().now();
+        final SimNode at = cluster.anyNode();
+        at.execute(() -> at.node()
+                .configurationService()
+                .applyConfiguration(text.getBytes(StandardCharsets.UTF_8), s -> {
+                    for (final Deployment.Kin k : cluster.place().kin()) {
+                        cluster.log()
+                                .add(RunLog.row(
                                         "log",
                                         "op",
                                         "t",
                                         t,
                                         "end",
-                                        town.world().now(),
+                                        cluster.world().now(),
                                         "what",
                                         "put",
                                         "item",
-                                        "ROUTE/" + w.route(),
+                                        "SERVICE/" + k.service(),
+                                        "service",
+                                        k.service(),
+                                        "kind",
+                                        k.kind(),
+                                        "rate",
+                                        k.rate(),
                                         "status",
                                         s.status(),
                                         "version",
-                                        1)));
-            }
-        }));
+                                        1));
+                        k.ways()
+                                .forEach(w -> cluster.log()
+                                        .add(RunLog.row(
+                                                "log",
+                                                "op",
+                                                "t",
+                                                t,
+                                                "end",
+                                                cluster.world().now(),
+                                                "what",
+                                                "put",
+                                                "item",
+                                                "ROUTE/" + w.route(),
+                                                "status",
+                                                s.status(),
+                                                "version",
+                                                1)));
+                    }
+                }));
     }
 
     /** An object changes at its back end; in a third of the cases an operator purges it a little later. */
@@ -98,22 +100,22 @@
         if (!on) {
             return;
         }
-        final List<Place.EdgeRouting> ways = town.place().ways().stream()
+        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
                 .filter(w -> w.mode().equals("cached") && w.purgeable())
                 .toList();
-        final Place.EdgeRouting w = ways.get(town.world().dice().nextInt(ways.size()));
-        final double roll = town.world().dice().nextDouble();
+        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
+        final double roll = cluster.world().dice().nextDouble();
         final String path = w.prefix() + (int) (w.objects() * roll * roll * roll);
-        final String service = town.place().kin().stream()
+        final String service = cluster.place().kin().stream()
                 .filter(k -> k.ways().contains(w))
                 .findFirst()
                 .orElseThrow()
                 .service();
-        final long rev = town.stock(service).change(path);
-        town.log().add(Log.row("log", "change", "t", town.world().now(), "path", path, "rev", rev));
-        if (town.world().dice().nextInt(3) == 0) {
-            final boolean wide = town.world().dice().nextInt(4) == 0;
-            town.world().in(50, () -> {
+        final long rev = cluster.stock(service).change(path);
+        cluster.log().add(RunLog.row("log", "change", "t", cluster.world().now(), "path", path, "rev", rev));
+        if (cluster.world().dice().nextInt(3) == 0) {
+            final boolean wide = cluster.world().dice().nextInt(4) == 0;
+            cluster.world().in(50, () -> {
                 if (wide) {
                     sweep(w.route(), path.substring(0, w.prefix().length() + 1));
                 } else {
@@ -121,37 +123,37 @@
                 }
             });
         }
-        town.world().in(100 + town.world().dice().nextInt(200), this::change);
+        cluster.world().in(100 + cluster.world().dice().nextInt(200), this::change);
     }
 
     @Override
     public void purge() {
-        final List<Place.EdgeRouting> ways = town.place().ways().stream()
+        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
                 .filter(w -> w.mode().equals("cached") && w.purgeable())
                 .toList();
-        final Place.EdgeRouting w = ways.get(town.world().dice().nextInt(ways.size()));
-        purge(w.route(), w.prefix() + town.world().dice().nextInt(w.objects()));
+        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
+        purge(w.route(), w.prefix() + cluster.world().dice().nextInt(w.objects()));
     }
 
     @Override
     public void state(final IntConsumer then) {
-        final Place.Kin k = town.place()
+        final Deployment.Kin k = cluster.place()
                 .kin()
-                .get(town.world().dice().nextInt(town.place().kin().size()));
+                .get(cluster.world().dice().nextInt(cluster.place().kin().size()));
         final Map<String, Object> body =
-                k.rate() > 0 ? Log.row("kind", k.kind(), "rate", k.rate()) : Log.row("kind", k.kind());
-        body.put("cutoffMs", 1500 + town.world().dice().nextInt(1000));
+                k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind());
+        body.put("cutoffMs", 1500 + cluster.world().dice().nextInt(1000));
         put(
                 "put",
-                new ItemId(Kind.SERVICE, k.service()),
-                Json.text(body),
+                new ItemId(ItemKind.SERVICE, k.service()),
+                Json.write(body),
                 Map.of("service", k.service(), "rate", k.rate()),
                 r -> then.accept(r.status()));
     }
 
     @Override
     public void invalid(final IntConsumer then) {
-        final SimNode at = town.anyNode();
+        final SimNode at = cluster.anyNode();
         if (at == null) {
             then.accept(0);
             return;
@@ -159,31 +161,40 @@
         final byte[] bad =
                 "{\"routes\":{\"x\":{\"prefix\":\"/x/\",\"service\":\"nobody\",\"mode\":\"cached\",\"lifetimeMs\":-1}}}"
                         .getBytes(StandardCharsets.UTF_8);
-        final long t = town.world().now();
-        at.post(() -> at.node().clerk().apply(bad, s -> {
-            town.log()
-                    .add(Log.row(
-                            "log", "op", "t", t, "end", town.world().now(), "what", "invalid", "status", s.status()));
+        final long t = cluster.world().now();
+        at.execute(() -> at.node().configurationService().applyConfiguration(bad, s -> {
+            cluster.log()
+                    .add(RunLog.row(
+                            "log",
+                            "op",
+                            "t",
+                            t,
+                            "end",
+                            cluster.world().now(),
+                            "what",
+                            "invalid",
+                            "status",
+                            s.status()));
             then.accept(s.status());
         }));
     }
 
     public void purge(final String route, final String path) {
-        final String name = route + "-" + Long.toHexString(org.rowanvalve.common.Hash.mix(path));
+        final String name = route + "-" + Long.toHexString(org.rowanvalve.common.model.Hash.hash64(path));
         put(
                 "purge",
-                new ItemId(Kind.PURGE, name),
-                Json.text(Map.of("route", route, "path", path)),
+                new ItemId(ItemKind.PURGE, name),
+                Json.write(Map.of("route", route, "path", path)),
                 Map.of("path", path),
                 s -> {});
     }
 
     private void sweep(final String route, final String prefix) {
-        final String name = route + "-all-" + Long.toHexString(org.rowanvalve.common.Hash.mix(prefix));
+        final String name = route + "-all-" + Long.toHexString(org.rowanvalve.common.model.Hash.hash64(prefix));
         put(
                 "purge",
-                new ItemId(Kind.PURGE, name),
-                Json.text(Map.of("route", route, "prefix", prefix)),
+                new ItemId(ItemKind.PURGE, name),
+                Json.write(Map.of("route", route, "prefix", prefix)),
                 Map.of("prefix", prefix),
                 s -> {});
     }
@@ -194,41 +205,42 @@
             return;
         }
         shown = !shown;
-        final ItemId id = new ItemId(Kind.ROUTE, "blink");
-        final String service = town.place().kin().get(0).service();
+        final ItemId id = new ItemId(ItemKind.ROUTE, "blink");
+        final String service = cluster.place().kin().get(0).service();
         final String body = shown
-                ? Json.text(Map.of("prefix", "/blink/", "service", service, "mode", "cached", "lifetimeMs", 500))
+                ? Json.write(Map.of("prefix", "/blink/", "service", service, "mode", "cached", "lifetimeMs", 500))
                 : null;
         put("blink", id, body, Map.of("shown", shown), s -> {});
-        town.world().in(7000, this::blink);
+        cluster.world().in(7000, this::blink);
     }
 
     private void probe() {
         if (!on) {
             return;
         }
-        town.nodes().values().stream()
-                .filter(n -> n.role() == org.rowanvalve.common.Role.EDGE && n.alive())
-                .forEach(n -> {
-                    final long t = town.world().now();
-                    n.post(() -> n.node()
+        cluster.nodes().values().stream()
+                .filter(node -> node.role() == org.rowanvalve.common.model.Role.EDGE && node.alive())
+                .forEach(node -> {
+                    final long t = cluster.world().now();
+                    node.execute(() -> node.node()
                             .edge()
-                            .take(
-                                    new org.rowanvalve.data.ClientRequest("GET", "/blink/1", null, new byte[0], ""),
-                                    a -> town.log()
-                                            .add(Log.row(
+                            .handle(
+                                    new org.rowanvalve.data.request.ClientRequest(
+                                            "GET", "/blink/1", null, new byte[0], ""),
+                                    response -> cluster.log()
+                                            .add(RunLog.row(
                                                     "log",
                                                     "probe",
                                                     "t",
                                                     t,
                                                     "end",
-                                                    town.world().now(),
+                                                    cluster.world().now(),
                                                     "node",
-                                                    n.id().text(),
+                                                    node.id().text(),
                                                     "status",
-                                                    a.status()))));
+                                                    response.status()))));
                 });
-        town.world().in(500, this::probe);
+        cluster.world().in(500, this::probe);
     }
 
     public void put(
@@ -236,29 +248,29 @@
             final ItemId id,
             final String body,
             final Map<String, Object> more,
-            final Consumer<ApiResult> then) {
-        final SimNode at = town.anyNode();
+            final Consumer<ApiResponse> then) {
+        final SimNode at = cluster.anyNode();
         if (at == null) {
             return;
         }
-        final long t = town.world().now();
+        final long t = cluster.world().now();
         final long expect = known.getOrDefault(
-                id.text(), id.kind() == Kind.PURGE || id.name().equals("blink") ? 0L : 1L);
+                id.text(), id.kind() == ItemKind.PURGE || id.name().equals("blink") ? 0L : 1L);
         final String tag = "op-" + ++serial;
         final long life = at.life();
-        town.world().in(1, () -> {
+        cluster.world().in(1, () -> {
             if (at.alive() && at.life() == life) {
-                final Consumer<ApiResult> back = s -> {
+                final Consumer<ApiResponse> back = s -> {
                     if (s.body().get("version") instanceof Number n) {
                         known.merge(id.text(), n.longValue(), Math::max);
                     }
-                    final Map<String, Object> row = Log.row(
+                    final Map<String, Object> row = RunLog.row(
                             "log",
                             "op",
                             "t",
                             t,
                             "end",
-                            town.world().now(),
+                            cluster.world().now(),
                             "what",
                             what,
                             "item",
@@ -274,14 +286,16 @@
                             "version",
                             s.body().get("version"));
                     row.putAll(more);
-                    town.log().add(row);
+                    cluster.log().add(row);
                     then.accept(s);
                 };
-                at.post(() -> {
+                at.execute(() -> {
                     if (body == null) {
-                        at.node().clerk().delete(id, expect, tag, back);
+                        at.node().configurationService().deleteItem(id, expect, tag, back);
                     } else {
-                        at.node().clerk().put(id, body.getBytes(StandardCharsets.UTF_8), expect, tag, back);
+                        at.node()
+                                .configurationService()
+                                .putItem(id, body.getBytes(StandardCharsets.UTF_8), expect, tag, back);
                     }
                 });
             }
@@ -293,16 +307,16 @@
         if (!on) {
             return;
         }
-        final List<Place.EdgeRouting> ways = town.place().ways().stream()
+        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
                 .filter(w -> w.mode().equals("cached"))
                 .toList();
-        final Place.EdgeRouting w = ways.get(town.world().dice().nextInt(ways.size()));
-        final String service = town.place().kin().stream()
+        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
+        final String service = cluster.place().kin().stream()
                 .filter(k -> k.ways().contains(w))
                 .findFirst()
                 .orElseThrow()
                 .service();
-        final String body = Json.text(Log.row(
+        final String body = Json.write(RunLog.row(
                 "prefix",
                 w.prefix(),
                 "service",
@@ -314,8 +328,8 @@
                 "purgeable",
                 w.purgeable()));
         for (int i = 0; i < 2; i++) {
-            put("put", new ItemId(Kind.ROUTE, w.route()), body, Map.of("race", serial / 2), s -> {});
+            put("put", new ItemId(ItemKind.ROUTE, w.route()), body, Map.of("race", serial / 2), s -> {});
         }
-        town.world().in(2500 + town.world().dice().nextInt(2000), this::restate);
+        cluster.world().in(2500 + cluster.world().dice().nextInt(2000), this::restate);
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/RightsWatch.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/LeaseExclusivityMonitor.java
@@ -2,36 +2,36 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** Compares all shields' rights on true time and by each shield's own clock: no two may hold one shard, frozen or not. */
-final class RightsWatch {
+final class LeaseExclusivityMonitor {
     private static final long EVERY_MS = 20;
     private final SimCluster cluster;
     private long looks;
 
-    RightsWatch(final SimCluster cluster) {
+    LeaseExclusivityMonitor(final SimCluster cluster) {
         this.cluster = cluster;
     }
 
     void start() {
         final Map<Integer, String> holders = new TreeMap<>();
         cluster.nodes().values().stream()
-                .filter(n -> n.alive() && n.role() == Role.SHIELD && n.node() != null)
-                .forEach(n -> look(n, holders));
+                .filter(node -> node.alive() && node.role() == Role.SHIELD && node.node() != null)
+                .forEach(node -> look(node, holders));
         cluster.world().in(EVERY_MS, this::start);
     }
 
-    private void look(final SimNode n, final Map<Integer, String> holders) {
-        n.node().holder().leases().keySet().stream()
-                .filter(n.node().holder()::may)
+    private void look(final SimNode node, final Map<Integer, String> holders) {
+        node.node().leaseHolder().leases().keySet().stream()
+                .filter(node.node().leaseHolder()::mayFill)
                 .forEach(shard -> {
                     looks++;
-                    final String other = holders.put(shard, n.id().text());
+                    final String other = holders.put(shard, node.id().text());
                     if (other != null) {
                         cluster.log()
-                                .add(Log.row(
+                                .add(RunLog.row(
                                         "log",
                                         "rights",
                                         "t",
@@ -41,13 +41,13 @@
                                         "first",
                                         other,
                                         "second",
-                                        n.id().text()));
+                                        node.id().text()));
                     }
                 });
     }
 
     /** The last line: how often was looked. */
     void end() {
-        cluster.log().add(Log.row("log", "rights", "t", cluster.world().now(), "looks", looks));
+        cluster.log().add(RunLog.row("log", "rights", "t", cluster.world().now(), "looks", looks));
     }
 }
