--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/LossLimit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/LossLimit.java
@@ -13,22 +13,22 @@
  * off, and until its time to catch up is over after its return.
  */
 public final class LossLimit {
-    private final World world;
+    private final VirtualTime time;
     private final Predicate<String> counted;
     private final int bearable;
     private final long catchUpMs;
     private final Set<String> down = new HashSet<>();
     private final Map<String, Long> lostUntil = new TreeMap<>();
 
-    LossLimit(final World world, final Predicate<String> counted, final int bearable, final long catchUpMs) {
-        this.world = world;
+    LossLimit(final VirtualTime time, final Predicate<String> counted, final int bearable, final long catchUpMs) {
+        this.time = time;
         this.counted = counted;
         this.bearable = bearable;
         this.catchUpMs = catchUpMs;
     }
 
     private Set<String> lost() {
-        lostUntil.values().removeIf(until -> until <= world.now());
+        lostUntil.values().removeIf(until -> until <= time.now());
         final Set<String> all = new HashSet<>(lostUntil.keySet());
         all.addAll(down);
         return all;
@@ -56,7 +56,7 @@
 
     void lostFor(final String machine, final long ms) {
         if (counted.test(machine)) {
-            lostUntil.merge(machine, world.now() + ms + catchUpMs, Math::max);
+            lostUntil.merge(machine, time.now() + ms + catchUpMs, Math::max);
         }
     }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/Order.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorUpdate.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.control.json.Json;
 
 /** One call of an operator: items that are set and items that are dropped. Sent again, it keeps its {@code id}. */
-record Order(long id, List<OrderItem> items) {
+record OperatorUpdate(long id, List<UpdateItem> items) {
     byte[] text() {
         final Map<String, Map<String, Object>> set = new TreeMap<>();
         final Map<String, Map<String, Object>> drop = new TreeMap<>();
-        for (final OrderItem item : items) {
-            final String section = item.kind().word() + "s";
+        for (final UpdateItem item : items) {
+            final String section = item.kind().label() + "s";
             if (item.drops()) {
                 drop.computeIfAbsent(section, k -> new TreeMap<>()).put(item.name(), item.version());
             } else {
@@ -21,6 +21,6 @@
                 set.computeIfAbsent(section, k -> new TreeMap<>()).put(item.name(), body);
             }
         }
-        return Json.text(Map.of("set", set, "drop", drop)).getBytes(StandardCharsets.UTF_8);
+        return Json.write(Map.of("set", set, "drop", drop)).getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/Operators.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorWorkload.java
@@ -3,7 +3,7 @@
 import java.util.function.IntConsumer;
 
 /** Those who change the configuration and purge, whatever their way of stating it. */
-interface Operators {
+interface OperatorWorkload {
     /** The first configuration. */
     void open();
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/RunSummary.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/RunSummary.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** The last lines of a run's log: what it cost, and what each living node holds. */
 final class RunSummary {
@@ -16,7 +16,7 @@
     void costs(final long seconds, final long messages, final long bytes) {
         final SimNode edge = cluster.node(EDGE);
         cluster.log()
-                .add(Log.row(
+                .add(RunLog.row(
                         "log",
                         "cost",
                         "t",
@@ -28,7 +28,7 @@
                         "bytes",
                         bytes,
                         "items",
-                        edge.alive() ? edge.node().held().all().size() : 0,
+                        edge.alive() ? edge.node().items().all().size() : 0,
                         "syncs",
                         cluster.node(cluster.place().disks().get(0)).disk().syncs(),
                         "kinds",
@@ -39,23 +39,24 @@
         cluster.nodes().values().stream().filter(SimNode::alive).forEach(this::held);
     }
 
-    private void held(final SimNode n) {
+    private void held(final SimNode node) {
         final Map<String, Object> items = new TreeMap<>();
-        n.node()
-                .held()
+        node.node()
+                .items()
                 .all()
-                .forEach(c -> items.put(c.item().id().text(), c.item().ver().n()));
+                .forEach(chosen -> items.put(
+                        chosen.item().id().text(), chosen.item().version().number()));
         cluster.log()
-                .add(Log.row(
+                .add(RunLog.row(
                         "log",
                         "end",
                         "t",
                         cluster.world().now(),
                         "node",
-                        n.id().text(),
+                        node.id().text(),
                         "items",
                         items,
                         "fresh",
-                        n.node().sync().fresh()));
+                        node.node().viewSynchronizer().isFresh()));
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -5,25 +5,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.data.Answer;
-import org.rowanvalve.data.ClientRequest;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Requesters: a steady mix, some of whom ask again. */
 public final class SimClients {
-    private final SimCluster town;
+    private final SimCluster cluster;
     private boolean on;
     private long serial;
     private long keys;
     private double factor = 1;
     private final List<Consumer<String>> whenAccepted = new ArrayList<>();
 
-    SimClients(final SimCluster town) {
-        this.town = town;
+    SimClients(final SimCluster cluster) {
+        this.cluster = cluster;
     }
 
     public void factor(final double f) {
@@ -35,10 +35,11 @@
         whenAccepted.add(shield);
     }
 
-    private void tellAccepted(final Answer a) {
+    private void tellAccepted(final ClientResponse response) {
         final List<Consumer<String>> all = List.copyOf(whenAccepted);
         whenAccepted.clear();
-        all.forEach(c -> c.accept(town.sender(String.valueOf(a.heads().get("rv-request")))));
+        all.forEach(
+                c -> c.accept(cluster.sender(String.valueOf(response.headers().get("rv-request")))));
     }
 
     void start() {
@@ -52,10 +53,10 @@
 
     private void next() {
         if (on) {
-            final double mean = 1000.0 / (town.place().perSecond() * factor);
+            final double mean = 1000.0 / (cluster.place().perSecond() * factor);
             final long rest =
-                    Math.max(0, Math.round(-Math.log(1 - town.world().dice().nextDouble()) * mean));
-            town.world().in(rest, () -> {
+                    Math.max(0, Math.round(-Math.log(1 - cluster.world().dice().nextDouble()) * mean));
+            cluster.world().in(rest, () -> {
                 one();
                 next();
             });
@@ -63,8 +64,9 @@
     }
 
     private void one() {
-        final Place.EdgeRouting w = town.place().pick(town.world().dice().nextDouble());
-        final double roll = town.world().dice().nextDouble();
+        final Deployment.EdgeRouting w =
+                cluster.place().pick(cluster.world().dice().nextDouble());
+        final double roll = cluster.world().dice().nextDouble();
         final String path = w.prefix() + (int) (w.objects() * roll * roll);
         final String key = w.mode().equals("once") ? "key-" + ++keys : null;
         send(w, path, key, 1);
@@ -72,16 +74,17 @@
 
     /** The platform picks by readiness among the nodes it can see. */
     private SimNode pick() {
-        final List<SimNode> up = town.nodes().values().stream()
-                .filter(n -> n.role() == Role.EDGE && n.alive())
+        final List<SimNode> up = cluster.nodes().values().stream()
+                .filter(node -> node.role() == Role.EDGE && node.alive())
                 .toList();
         if (up.isEmpty()) {
             return null;
         }
-        final List<SimNode> good =
-                up.stream().filter(n -> !n.frozen() && n.node().grade() >= 50).toList();
+        final List<SimNode> good = up.stream()
+                .filter(node -> !node.frozen() && node.node().readinessScore() >= 50)
+                .toList();
         final List<SimNode> from = good.isEmpty() ? up : good;
-        return from.get(town.world().dice().nextInt(from.size()));
+        return from.get(cluster.world().dice().nextInt(from.size()));
     }
 
     private static byte[] body(final String key) {
@@ -93,7 +96,7 @@
     }
 
     /** With a name of its own for this try, and how long the caller waits. */
-    private ClientRequest tried(final Place.EdgeRouting w, final String path, final String key, final long id) {
+    private ClientRequest tried(final Deployment.EdgeRouting w, final String path, final String key, final long id) {
         return new ClientRequest(
                 w.runs() ? "POST" : "GET",
                 w.host(),
@@ -102,23 +105,23 @@
                 body(key),
                 "application/json",
                 "a-" + id,
-                town.place().hasty() ? 3000 : 1200,
+                cluster.place().hasty() ? 3000 : 1200,
                 null,
                 Map.of());
     }
 
-    private void send(final Place.EdgeRouting w, final String path, final String key, final int turn) {
+    private void send(final Deployment.EdgeRouting w, final String path, final String key, final int turn) {
         final SimNode at = pick();
-        final long t = town.world().now();
+        final long t = cluster.world().now();
         final long id = ++serial;
-        final ClientRequest ask = town.place().shieldRun() ? tried(w, path, key, id) : plain(path, key);
+        final ClientRequest request = cluster.place().shieldRun() ? tried(w, path, key, id) : plain(path, key);
         final boolean[] over = {false};
-        final Consumer<Answer> then = a -> {
+        final Consumer<ClientResponse> then = response -> {
             if (!over[0]) {
                 over[0] = true;
-                note(w, path, key, turn, at, t, id, a);
-                if (a != null && key != null && a.fate().equals(Answer.DONE)) {
-                    tellAccepted(a);
+                note(w, path, key, turn, at, t, id, response);
+                if (response != null && key != null && response.fate().equals(ClientResponse.DONE)) {
+                    tellAccepted(response);
                 }
             }
         };
@@ -127,12 +130,12 @@
             return;
         }
         final long life = at.life();
-        town.world().in(5000, () -> then.accept(null));
-        town.world().in(1, () -> {
+        cluster.world().in(5000, () -> then.accept(null));
+        cluster.world().in(1, () -> {
             if (at.alive() && at.life() == life) {
-                at.post(() -> at.node().edge().take(ask, a -> {
+                at.execute(() -> at.node().edge().handle(request, response -> {
                     if (at.alive() && at.life() == life) {
-                        town.world().in(1, () -> then.accept(a));
+                        cluster.world().in(1, () -> then.accept(response));
                     }
                 }));
             } else {
@@ -142,24 +145,25 @@
     }
 
     private void note(
-            final Place.EdgeRouting w,
+            final Deployment.EdgeRouting w,
             final String path,
             final String key,
             final int turn,
             final SimNode at,
             final long t,
             final long id,
-            final Answer a) {
-        final String text = a == null ? "" : new String(a.body(), StandardCharsets.UTF_8);
-        final Map<?, ?> map = a != null && a.fate().equals(Answer.DONE) ? Json.read(text, Map.class) : Map.of();
-        town.log()
-                .add(Log.row(
+            final ClientResponse response) {
+        final String text = response == null ? "" : new String(response.body(), StandardCharsets.UTF_8);
+        final Map<?, ?> map =
+                response != null && response.fate().equals(ClientResponse.DONE) ? Json.read(text, Map.class) : Map.of();
+        cluster.log()
+                .add(RunLog.row(
                         "log",
                         "req",
                         "t",
                         t,
                         "end",
-                        town.world().now(),
+                        cluster.world().now(),
                         "id",
                         id,
                         "node",
@@ -179,38 +183,40 @@
                         "attempt",
                         w.host().isEmpty() ? null : "a-" + id,
                         "status",
-                        a == null ? 0 : a.status(),
+                        response == null ? 0 : response.status(),
                         "fate",
-                        a == null ? "none" : a.fate(),
+                        response == null ? "none" : response.fate(),
                         "stamp",
-                        a == null ? null : a.heads().get("rv-stamp"),
+                        response == null ? null : response.headers().get("rv-stamp"),
                         "request",
-                        a == null ? null : a.heads().get("rv-request"),
+                        response == null ? null : response.headers().get("rv-request"),
                         "whole",
-                        a == null
+                        response == null
                                 ? null
-                                : Hash.digest(a.body()).equals(a.heads().get("rv-digest")),
+                                : Hash.sha256Hex(response.body())
+                                        .equals(response.headers().get("rv-digest")),
                         "why",
-                        a == null || a.fate().equals(Answer.DONE) ? null : text,
+                        response == null || response.fate().equals(ClientResponse.DONE) ? null : text,
                         "said",
                         map.get("path"),
                         "saidKey",
                         map.get("key"),
                         "rev",
                         map.get("rev")));
-        final boolean again = a == null || !a.fate().equals(Answer.DONE);
-        final double eager = town.place().hasty() ? 0.9 : 0.4;
-        final boolean may = !w.mode().equals("single") || a != null && a.fate().equals(Answer.REFUSED);
-        if (on && again && may && turn < 4 && town.world().dice().nextDouble() < eager) {
+        final boolean again = response == null || !response.fate().equals(ClientResponse.DONE);
+        final double eager = cluster.place().hasty() ? 0.9 : 0.4;
+        final boolean may = !w.mode().equals("single")
+                || response != null && response.fate().equals(ClientResponse.REFUSED);
+        if (on && again && may && turn < 4 && cluster.world().dice().nextDouble() < eager) {
             final long rest =
-                    town.place().hasty() ? 20 : 500 + town.world().dice().nextInt(1000);
-            town.world().in(rest, () -> send(w, path, key, turn + 1));
+                    cluster.place().hasty() ? 20 : 500 + cluster.world().dice().nextInt(1000);
+            cluster.world().in(rest, () -> send(w, path, key, turn + 1));
         } else if (on
                 && key != null
                 && !again
                 && turn == 1
-                && town.world().dice().nextDouble() < (w.host().isEmpty() ? 0.05 : 0.2)) {
-            town.world().in(200 + town.world().dice().nextInt(3000), () -> send(w, path, key, 9));
+                && cluster.world().dice().nextDouble() < (w.host().isEmpty() ? 0.05 : 0.2)) {
+            cluster.world().in(200 + cluster.world().dice().nextInt(3000), () -> send(w, path, key, 9));
         }
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
@@ -9,82 +9,82 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Stream;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Electorate;
-import org.rowanvalve.control.Quorum;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.control.voting.VotingConfiguration;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** A whole deployment in the simulator. */
 public final class SimCluster {
     private static final int SHARDS = 32;
     private static final long LEAVE_MS = 8000;
-    private final World world;
-    private final Place place;
-    private final Log log = new Log();
-    private final SimNet net;
+    private final VirtualTime time;
+    private final Deployment deployment;
+    private final RunLog log = new RunLog();
+    private final SimTransport net;
     private final Map<String, SimNode> nodes = new TreeMap<>();
     private final Map<String, SimNode> gone = new TreeMap<>();
     private final Map<String, String> successors = new TreeMap<>();
     private final Set<String> retired = new TreeSet<>();
-    private final SimPort.Yard yard;
+    private final SimOriginTransport.OriginDirectory yard;
     private final LossLimit losses;
     private final int wantedLosses;
     private final Quorum quorum;
     private final SimOrigins origins;
     private final SimClients crowd;
     private final ItemOperator itemOperator;
-    private final OrderOperator orderOperator;
-    private final RightsWatch rights;
+    private final UpdateOperator orderOperator;
+    private final LeaseExclusivityMonitor rights;
     private List<NodeId> seeds;
     private long opened;
     private long sent;
     private long bytes;
 
-    public SimCluster(final Place place, final long seed) {
-        this(place, seed, place.losses());
+    public SimCluster(final Deployment deployment, final long seed) {
+        this(deployment, seed, deployment.losses());
     }
 
     /** {@code wantedLosses}: how many voters the settings say may be lost at once. */
-    public SimCluster(final Place place, final long seed, final int wantedLosses) {
-        this.place = place;
+    public SimCluster(final Deployment deployment, final long seed, final int wantedLosses) {
+        this.deployment = deployment;
         this.wantedLosses = wantedLosses;
-        world = new World(seed);
-        net = new SimNet(world, this::delay);
-        yard = new SimPort.Yard(world, net, log);
-        seeds = place.electors().stream().map(NodeId::of).toList();
+        time = new VirtualTime(seed);
+        net = new SimTransport(time, this::delay);
+        yard = new SimOriginTransport.OriginDirectory(time, net, log);
+        seeds = deployment.electors().stream().map(NodeId::of).toList();
         losses = new LossLimit(
-                world,
+                time,
                 m -> m.startsWith("sh"),
-                place.shieldRun() ? place.losses() : Integer.MAX_VALUE,
-                place.catchUpMs());
-        quorum = new Quorum(seeds, place.shieldRun() ? Set.of() : Set.of(NodeId.of("st1"), NodeId.of("st2")));
-        if (place.shieldRun()) {
-            log.add(Log.row("log", "place", "t", 0, "name", place.name(), "electors", place.electors()));
+                deployment.shieldRun() ? deployment.losses() : Integer.MAX_VALUE,
+                deployment.catchUpMs());
+        quorum = new Quorum(seeds, deployment.shieldRun() ? Set.of() : Set.of(NodeId.of("st1"), NodeId.of("st2")));
+        if (deployment.shieldRun()) {
+            log.add(RunLog.row("log", "place", "t", 0, "name", deployment.name(), "electors", deployment.electors()));
         }
-        place.machines().forEach(m -> nodes.put(m, machine(m)));
+        deployment.machines().forEach(m -> nodes.put(m, machine(m)));
         origins = new SimOrigins(this, yard);
-        itemOperator = place.shieldRun() ? null : new ItemOperator(this);
-        orderOperator = place.shieldRun() ? new OrderOperator(this) : null;
+        itemOperator = deployment.shieldRun() ? null : new ItemOperator(this);
+        orderOperator = deployment.shieldRun() ? new UpdateOperator(this) : null;
         crowd = new SimClients(this);
-        rights = new RightsWatch(this);
+        rights = new LeaseExclusivityMonitor(this);
     }
 
     private SimNode machine(final String name) {
         final Role role = name.startsWith("st") ? Role.STORE : name.startsWith("sh") ? Role.SHIELD : Role.EDGE;
-        final boolean keeps = role == Role.STORE || role == Role.SHIELD && place.shieldRun();
-        final SimDisk disk = new SimDisk(world, keeps ? place.syncMs() : 0);
+        final boolean keeps = role == Role.STORE || role == Role.SHIELD && deployment.shieldRun();
+        final SimStorage disk = new SimStorage(time, keeps ? deployment.syncMs() : 0);
         return new SimNode(
-                world,
+                time,
                 net,
                 disk,
                 yard,
                 log,
                 NodeId.of(name),
                 role,
-                place.cell(name),
+                deployment.cell(name),
                 seeds,
                 quorum,
                 SHARDS,
@@ -93,57 +93,58 @@
 
     /** Who hears origins and operators: any node, or the shields where they serve control. */
     SimNode controlNode() {
-        if (!place.shieldRun()) {
+        if (!deployment.shieldRun()) {
             return anyNode();
         }
         final List<SimNode> list = nodes.values().stream()
-                .filter(n -> n.role() == Role.SHIELD && n.alive())
+                .filter(node -> node.role() == Role.SHIELD && node.alive())
                 .toList();
-        return list.isEmpty() ? null : list.get(world.dice().nextInt(list.size()));
+        return list.isEmpty() ? null : list.get(time.dice().nextInt(list.size()));
     }
 
-    Operators operators() {
-        return place.shieldRun() ? orderOperator : itemOperator;
+    OperatorWorkload operators() {
+        return deployment.shieldRun() ? orderOperator : itemOperator;
     }
 
     private long delay(final String a, final String b) {
-        return a.startsWith("127.") || b.startsWith("127.") || !place.apart(a, b) ? 0 : place.regionMs();
+        return a.startsWith("127.") || b.startsWith("127.") || !deployment.apart(a, b) ? 0 : deployment.regionMs();
     }
 
     /** Everything on, the configuration stated, traffic begun. */
     public SimCluster open() {
-        nodes.values().forEach(n -> world.in(world.dice().nextInt(300), n::start));
-        world.in(3000, operators()::open);
-        origins.values().forEach(o -> world.in(4500 + world.dice().nextInt(500), o::start));
-        world.run(7000);
+        nodes.values().forEach(node -> time.in(time.dice().nextInt(300), node::start));
+        time.in(3000, operators()::open);
+        origins.values().forEach(o -> time.in(4500 + time.dice().nextInt(500), o::start));
+        time.run(7000);
         crowd.start();
         operators().start();
         rights.start();
-        opened = world.now();
+        opened = time.now();
         sent = net.sent();
         bytes = net.bytes();
         return this;
     }
 
     SimNode anyNode() {
-        final List<SimNode> list = new ArrayList<>(
-                nodes.values().stream().filter(n -> n.alive() && !n.frozen()).toList());
-        return list.isEmpty() ? null : list.get(world.dice().nextInt(list.size()));
+        final List<SimNode> list = new ArrayList<>(nodes.values().stream()
+                .filter(node -> node.alive() && !node.frozen())
+                .toList());
+        return list.isEmpty() ? null : list.get(time.dice().nextInt(list.size()));
     }
 
     public void run(final long ms) {
-        world.run(world.now() + ms);
+        time.run(time.now() + ms);
     }
 
     /** The last figures: what each living node holds. */
     public List<Map<String, Object>> close() {
         crowd.stop();
         operators().stop();
-        new RunSummary(this).costs((world.now() - opened) / 1000, net.sent() - sent, net.bytes() - bytes);
+        new RunSummary(this).costs((time.now() - opened) / 1000, net.sent() - sent, net.bytes() - bytes);
         run(6000);
         rights.end();
         if (orderOperator != null) {
-            new ConfigReader(this).readAll();
+            new ConfigurationReader(this).readAll();
             run(1500);
         }
         new RunSummary(this).held();
@@ -151,12 +152,12 @@
     }
 
     public void trouble(final String what, final String node, final long ms) {
-        log.add(Log.row("log", "rig", "t", world.now(), "what", what, "node", node, "ms", ms));
+        log.add(RunLog.row("log", "rig", "t", time.now(), "what", what, "node", node, "ms", ms));
     }
 
     /** The process; in a shield-run place its peers hear that their circuits are closed. */
     public void kill(final String name, final long back) {
-        if (place.shieldRun()) {
+        if (deployment.shieldRun()) {
             net.reset(NodeId.of(name));
         }
         power(name, back);
@@ -168,14 +169,14 @@
         losses.gone(name);
         node(name).kill();
         if (back > 0) {
-            world.in(back, () -> start(name));
+            time.in(back, () -> start(name));
         }
     }
 
     /** An orderly stop, then a start after {@code back}. */
     public void restart(final String name, final long back) {
         trouble("restart", name, back);
-        stop(name, () -> world.in(back, () -> start(name)));
+        stop(name, () -> time.in(back, () -> start(name)));
     }
 
     /** It counts as lost; one that was replaced does so only until its successor has caught up. */
@@ -188,11 +189,11 @@
     /** An orderly stop. */
     void stop(final String name, final Runnable then) {
         down(name);
-        final SimNode n = node(name);
-        final long life = n.life();
-        n.post(() -> n.node().leave(LEAVE_MS, () -> {
-            if (n.life() == life) {
-                n.kill();
+        final SimNode node = node(name);
+        final long life = node.life();
+        node.execute(() -> node.node().shutDown(LEAVE_MS, () -> {
+            if (node.life() == life) {
+                node.kill();
                 then.run();
             }
         }));
@@ -208,7 +209,7 @@
 
     /** An empty machine at another address takes the place of {@code old}, which may still be up. */
     String add(final String old) {
-        final String name = place.successor(old);
+        final String name = deployment.successor(old);
         trouble("added", name, 0);
         successors.put(old, name);
         nodes.put(name, machine(name).joining());
@@ -240,7 +241,7 @@
     /** The settings of all machines name other seeds. */
     void seeds(final List<String> names) {
         seeds = names.stream().map(NodeId::of).toList();
-        nodes.values().forEach(n -> n.seeds(seeds));
+        nodes.values().forEach(node -> node.seeds(seeds));
     }
 
     /** The seeds that are still there, and other shields in the place of those that are not. */
@@ -248,7 +249,7 @@
         return Stream.concat(
                         seeds.stream().filter(s -> nodes.containsKey(s.text())),
                         nodes.values().stream()
-                                .filter(n -> n.role() == Role.SHIELD && n.alive())
+                                .filter(node -> node.role() == Role.SHIELD && node.alive())
                                 .map(SimNode::id))
                 .distinct()
                 .limit(seeds.size())
@@ -273,7 +274,7 @@
         losses.gone(name);
         node(name).kill();
         node(name).disk().lose();
-        world.in(back, () -> start(name));
+        time.in(back, () -> start(name));
     }
 
     public void freeze(final String name, final long ms) {
@@ -284,23 +285,23 @@
 
     public void stall(final String name, final long ms) {
         trouble("stall", name, ms);
-        node(name).disk().stall(world.now() + ms);
+        node(name).disk().stall(time.now() + ms);
     }
 
     public void full(final String name, final long ms) {
         trouble("full", name, ms);
         node(name).disk().full(true);
-        world.in(ms, () -> node(name).disk().full(false));
+        time.in(ms, () -> node(name).disk().full(false));
     }
 
     /** The latest voting set that a living node goes by. */
     List<String> voters() {
         return nodes.values().stream()
                 .filter(SimNode::alive)
-                .map(n -> n.node().electorate())
-                .max(Comparator.comparingLong(Electorate::epoch))
+                .map(node -> node.node().votingConfiguration())
+                .max(Comparator.comparingLong(VotingConfiguration::epoch))
                 .map(e -> e.voters().stream().map(NodeId::text).toList())
-                .orElse(place.electors());
+                .orElse(deployment.electors());
     }
 
     /** The named machines are cut from all others, both ways. */
@@ -322,7 +323,7 @@
     void sever(final List<String> from, final List<String> to, final long ms) {
         from.forEach(a -> to.forEach(b -> {
             net.cut(a, b);
-            world.in(ms, () -> net.heal(a, b));
+            time.in(ms, () -> net.heal(a, b));
         }));
     }
 
@@ -330,14 +331,14 @@
         trouble("drift", name, ms);
         losses.lostFor(name, ms);
         node(name).drift(pace);
-        world.in(ms, () -> node(name).drift(1));
+        time.in(ms, () -> node(name).drift(1));
     }
 
     /** All power and some disks at once. */
     public void blackout(final List<String> disks, final long back) {
-        List.copyOf(nodes.keySet()).forEach(n -> power(n, back + world.dice().nextInt(500)));
+        List.copyOf(nodes.keySet()).forEach(n -> power(n, back + time.dice().nextInt(500)));
         disks.forEach(n -> node(n).disk().lose());
-        world.in(back + 500, () -> trouble("returned", "", 0));
+        time.in(back + 500, () -> trouble("returned", "", 0));
     }
 
     /** The machine, also one that left for good. */
@@ -353,31 +354,31 @@
         return origins;
     }
 
-    public Stock stock(final String service) {
+    public StandInBackend stock(final String service) {
         return origins.stock(service);
     }
 
-    public World world() {
-        return world;
+    public VirtualTime world() {
+        return time;
     }
 
-    public SimNet net() {
+    public SimTransport net() {
         return net;
     }
 
-    public Log log() {
+    public RunLog log() {
         return log;
     }
 
-    public Place place() {
-        return place;
+    public Deployment place() {
+        return deployment;
     }
 
     public ItemOperator itemOperator() {
         return itemOperator;
     }
 
-    public OrderOperator orderOperator() {
+    public UpdateOperator orderOperator() {
         return orderOperator;
     }
 
@@ -388,10 +389,10 @@
     /** The acting lease authority, by the nodes' own word; empty while there is none. */
     public String boss() {
         return nodes.values().stream()
-                .filter(n -> n.alive()
-                        && n.node().tenure() != null
-                        && n.node().tenure().acting())
-                .map(n -> n.id().text())
+                .filter(node -> node.alive()
+                        && node.node().election() != null
+                        && node.node().election().isLeader())
+                .map(node -> node.id().text())
                 .findFirst()
                 .orElse("");
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimNode.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimNode.java
@@ -4,25 +4,25 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Random;
-import org.rowanvalve.common.Condition;
-import org.rowanvalve.common.DiskTrouble;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Loop;
-import org.rowanvalve.common.Member;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Quorum;
-import org.rowanvalve.data.Node;
-import org.rowanvalve.data.Setup;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.model.Member;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.StorageException;
+import org.rowanvalve.control.voting.Quorum;
+import org.rowanvalve.data.node.Node;
+import org.rowanvalve.data.settings.NodeSettings;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** One machine: the real node classes on virtual time, with a clock of its own. */
-public final class SimNode implements Loop {
-    private final World world;
-    private final SimNet net;
-    private final SimDisk disk;
-    private final SimPort.Yard yard;
-    private final Log log;
+public final class SimNode implements EventLoop {
+    private final VirtualTime time;
+    private final SimTransport net;
+    private final SimStorage disk;
+    private final SimOriginTransport.OriginDirectory yard;
+    private final RunLog log;
     private final NodeId id;
     private final Role role;
     private final String cell;
@@ -31,7 +31,7 @@
     private final int shards;
     private final int losses;
     private Node node;
-    private SimPort port;
+    private SimOriginTransport port;
     private long life;
     private boolean alive;
     private long frozen;
@@ -42,11 +42,11 @@
     private boolean founding = true;
 
     public SimNode(
-            final World world,
-            final SimNet net,
-            final SimDisk disk,
-            final SimPort.Yard yard,
-            final Log log,
+            final VirtualTime time,
+            final SimTransport net,
+            final SimStorage disk,
+            final SimOriginTransport.OriginDirectory yard,
+            final RunLog log,
             final NodeId id,
             final Role role,
             final String cell,
@@ -54,7 +54,7 @@
             final Quorum quorum,
             final int shards,
             final int losses) {
-        this.world = world;
+        this.time = time;
         this.net = net;
         this.disk = disk;
         this.yard = yard;
@@ -66,7 +66,7 @@
         this.quorum = quorum;
         this.shards = shards;
         this.losses = losses;
-        this.shift = world.dice().nextInt(100_000);
+        this.shift = time.dice().nextInt(100_000);
         net.join(this);
     }
 
@@ -86,7 +86,7 @@
         return node;
     }
 
-    public SimDisk disk() {
+    public SimStorage disk() {
         return disk;
     }
 
@@ -99,7 +99,7 @@
     }
 
     public boolean frozen() {
-        return world.now() < frozen;
+        return time.now() < frozen;
     }
 
     public void start() {
@@ -107,42 +107,42 @@
         alive = true;
         frozen = 0;
         final String boot = "b" + life;
-        final Journal journal = new Journal(this, 200);
-        journal.fold(e -> {
+        final EventJournal journal = new EventJournal(this, 200);
+        journal.subscribe(entry -> {
             final Map<String, Object> row = new LinkedHashMap<>();
             row.put("log", "node");
-            row.put("t", world.now());
+            row.put("t", time.now());
             row.put("node", id.text());
             row.put("boot", boot);
-            row.put("code", e.event().code().tag());
-            row.put("name", e.event().code().name());
-            e.event().facts().forEach((k, v) -> row.putIfAbsent(k.equals("node") ? "peer" : k, v));
+            row.put("code", entry.event().code().id());
+            row.put("name", entry.event().code().name());
+            entry.event().facts().forEach((k, v) -> row.putIfAbsent(k.equals("node") ? "peer" : k, v));
             log.add(row);
         });
-        final Member self = new Member(id, role, cell, "127.0.0.1", 1, boot, Condition.PARTIAL, "sim");
-        final Setup setup = Setup.of(self)
+        final Member self = new Member(id, role, cell, "127.0.0.1", 1, boot, NodeStatus.PARTIAL, "sim");
+        final NodeSettings settings = NodeSettings.builderFor(self)
                 .seeds(seeds)
                 .quorum(quorum)
                 .shards(shards)
-                .wantedLosses(losses)
-                .first(founding && life == 1 || !quorum.stores().isEmpty())
+                .toleratedLosses(losses)
+                .firstBoot(founding && life == 1 || !quorum.stores().isEmpty())
                 .build();
         port = yard.port(this);
         node = new Node(
-                setup,
-                new Node.Seams(
+                settings,
+                new Node.Runtime(
                         this,
                         net.of(this),
                         disk.open(this),
                         port,
-                        new Random(world.dice().nextLong()),
-                        () -> 1_700_000_000_000L + world.now() + wallStep,
-                        m -> {}),
+                        new Random(time.dice().nextLong()),
+                        () -> 1_700_000_000_000L + time.now() + wallStep,
+                        member -> {}),
                 journal);
-        post(() -> {
+        execute(() -> {
             try {
                 node.start();
-            } catch (final DiskTrouble e) {
+            } catch (final StorageException e) {
                 throw new IllegalStateException(e);
             }
         });
@@ -173,7 +173,7 @@
         if (alive) {
             final Map<NodeId, InetSocketAddress> addresses = new LinkedHashMap<>();
             seeds.forEach(s -> addresses.put(s, InetSocketAddress.createUnresolved(s.text(), 1)));
-            post(() -> node.seeds(addresses));
+            execute(() -> node.updateSeeds(addresses));
         }
     }
 
@@ -183,43 +183,43 @@
     }
 
     public void freeze(final long ms) {
-        frozen = Math.max(frozen, world.now() + ms);
+        frozen = Math.max(frozen, time.now() + ms);
     }
 
     /** Whether a request is under way in it. */
     boolean busy() {
-        return role == Role.EDGE ? node.edge().busy() > 0 : port.busy();
+        return role == Role.EDGE ? node.edge().openRequests() > 0 : port.busy();
     }
 
     /** A share of its circuits to origins is reset. */
     void resetOriginCircuits(final double share) {
-        port.resetCircuits(world.dice()::nextDouble, share);
+        port.resetCircuits(time.dice()::nextDouble, share);
     }
 
     /** From now on this clock runs at {@code pace} of true time. */
     public void drift(final double pace) {
         shift = now();
-        hop = world.now();
+        hop = time.now();
         rate = pace;
     }
 
     @Override
     public long now() {
-        return shift + (long) ((world.now() - hop) * rate);
+        return shift + (long) ((time.now() - hop) * rate);
     }
 
     @Override
-    public void after(final long ms, final Runnable job) {
+    public void schedule(final long ms, final Runnable job) {
         final long mine = life;
-        world.in((long) Math.ceil(ms / rate), () -> fire(mine, job));
+        time.in((long) Math.ceil(ms / rate), () -> fire(mine, job));
     }
 
     private void fire(final long mine, final Runnable job) {
         if (!alive || life != mine) {
             return;
         }
-        if (world.now() < frozen) {
-            world.at(frozen, () -> fire(mine, job));
+        if (time.now() < frozen) {
+            time.at(frozen, () -> fire(mine, job));
         } else {
             job.run();
         }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigin.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigin.java
@@ -2,18 +2,18 @@
 
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.data.Port;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
 
 /** A stand-in origin on virtual time: the same contract as the one over HTTP. */
 public final class SimOrigin {
-    private final World world;
-    private final Log log;
+    private final VirtualTime time;
+    private final RunLog log;
     private final String name;
     private final Make make;
-    private final Stock stock;
+    private final StandInBackend backend;
     private final String host;
     private final Supplier<SimNode> any;
     private final Word word;
@@ -25,7 +25,7 @@
     private long beat;
     private long life;
     private int running;
-    private Port.Got surplus;
+    private OriginTransport.OriginResponse surplus;
 
     /** {@code slots}: requests it works on at once, 0 where it does not say; {@code ms}: how long one takes. */
     public record Make(String kind, int slots, long ms, String cell) {
@@ -36,32 +36,32 @@
 
     /** How origins tell the network of themselves. */
     interface Word {
-        void say(SimNode at, SimOrigin who, String stamp, boolean out, long beat, Consumer<ApiResult> then);
+        void say(SimNode at, SimOrigin who, String stamp, boolean out, long beat, Consumer<ApiResponse> then);
 
         /** Its last word: it has ended. */
-        void end(SimNode at, String name, String stamp, Consumer<ApiResult> then);
+        void end(SimNode at, String name, String stamp, Consumer<ApiResponse> then);
 
         /** Whether an end is told at all. */
         boolean tells();
 
-        long rest(World world, long beat);
+        long rest(VirtualTime time, long beat);
     }
 
     public SimOrigin(
-            final World world,
-            final Log log,
+            final VirtualTime time,
+            final RunLog log,
             final String name,
             final Make make,
-            final Stock stock,
+            final StandInBackend backend,
             final String host,
             final Supplier<SimNode> any,
             final Word word) {
-        this.world = world;
+        this.time = time;
         this.log = log;
         this.name = name;
         this.make = make;
         this.slow = make.ms();
-        this.stock = stock;
+        this.backend = backend;
         this.host = host;
         this.any = any;
         this.word = word;
@@ -70,7 +70,7 @@
     /** Another machine of the same service, under a name of its own. */
     SimOrigin heir(final String at) {
         return new SimOrigin(
-                world, log, name.replaceAll("-r\\d+$", "") + "-r" + world.serial(), make, stock, at, any, word);
+                time, log, name.replaceAll("-r\\d+$", "") + "-r" + time.serial(), make, backend, at, any, word);
     }
 
     public String name() {
@@ -85,8 +85,8 @@
         return stamp;
     }
 
-    public Stock stock() {
-        return stock;
+    public StandInBackend stock() {
+        return backend;
     }
 
     public boolean alive() {
@@ -111,8 +111,8 @@
     }
 
     /** The answer of an earlier request in the place of this one. */
-    Port.Got late(final Port.Got own) {
-        final Port.Got old = surplus == null ? own : surplus;
+    OriginTransport.OriginResponse late(final OriginTransport.OriginResponse own) {
+        final OriginTransport.OriginResponse old = surplus == null ? own : surplus;
         surplus = own;
         return old;
     }
@@ -135,7 +135,7 @@
     }
 
     public void start() {
-        life = world.serial();
+        life = time.serial();
         alive = true;
         leaving = false;
         stamp = name + "-" + life;
@@ -146,13 +146,13 @@
 
     public void kill() {
         alive = false;
-        life = world.serial();
+        life = time.serial();
     }
 
     private void round(final long mine) {
         if (alive && life == mine && !leaving) {
             announce(false, s -> {});
-            world.in(word.rest(world, beat), () -> round(mine));
+            time.in(word.rest(time, beat), () -> round(mine));
         }
     }
 
@@ -165,7 +165,7 @@
         if (life == mine && left > 0) {
             final boolean[] ok = {false};
             announce(true, s -> ok[0] = s.status() == 200);
-            world.in(1500, () -> {
+            time.in(1500, () -> {
                 if (!ok[0]) {
                     tryLeave(mine, left - 1);
                 } else if (word.tells()) {
@@ -179,9 +179,9 @@
     public void quit() {
         final SimNode at = alive && word.tells() ? any.get() : null;
         if (at != null) {
-            final long t = world.now();
+            final long t = time.now();
             final String mark = stamp;
-            at.post(() -> word.end(at, name, mark, s -> note(t, "leave", mark, at, s)));
+            at.execute(() -> word.end(at, name, mark, s -> note(t, "leave", mark, at, s)));
         }
         kill();
     }
@@ -192,24 +192,24 @@
         if (at != null && beat > 1) {
             final long n = beat - 1;
             final String mark = stamp;
-            at.post(() -> word.say(at, this, mark, false, n, s -> {}));
+            at.execute(() -> word.say(at, this, mark, false, n, s -> {}));
         }
     }
 
-    private void note(final long t, final String what, final String mark, final SimNode at, final ApiResult s) {
-        log.add(Log.row(
+    private void note(final long t, final String what, final String mark, final SimNode at, final ApiResponse s) {
+        log.add(RunLog.row(
                 "log",
                 "op",
                 "t",
                 t,
                 "end",
-                world.now(),
+                time.now(),
                 "what",
                 what,
                 "origin",
                 name,
                 "service",
-                stock.service(),
+                backend.service(),
                 "stamp",
                 mark,
                 "at",
@@ -218,17 +218,17 @@
                 s.status()));
     }
 
-    private void announce(final boolean out, final Consumer<ApiResult> then) {
+    private void announce(final boolean out, final Consumer<ApiResponse> then) {
         final SimNode at = any.get();
-        final long t = world.now();
+        final long t = time.now();
         final String mark = stamp;
         final long n = ++beat;
         if (at == null) {
             return;
         }
-        world.in(1, () -> {
+        time.in(1, () -> {
             if (at.alive()) {
-                at.post(() -> word.say(at, this, mark, out, n, s -> {
+                at.execute(() -> word.say(at, this, mark, out, n, s -> {
                     if (out || n == 1) {
                         note(t, out ? "leave" : "announce", mark, at, s);
                     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OriginAnnouncements.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
@@ -2,14 +2,14 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Origin;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** The two ways in which origins tell of themselves. */
-final class OriginAnnouncements {
-    private OriginAnnouncements() {}
+final class SimOriginAnnouncements {
+    private SimOriginAnnouncements() {}
 
     /** By the product's own contract: named, with a time to live. */
     record Announced() implements SimOrigin.Word {
@@ -20,8 +20,8 @@
                 final String stamp,
                 final boolean out,
                 final long beat,
-                final Consumer<ApiResult> then) {
-            final byte[] body = Json.text(Log.row(
+                final Consumer<ApiResponse> then) {
+            final byte[] body = Json.write(RunLog.row(
                             "service",
                             who.stock().service(),
                             "host",
@@ -41,12 +41,12 @@
                             "beat",
                             beat))
                     .getBytes(StandardCharsets.UTF_8);
-            at.node().clerk().announce(who.name(), body, then);
+            at.node().configurationService().announceOrigin(who.name(), body, then);
         }
 
         @Override
-        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResult> then) {
-            then.accept(new ApiResult(204, java.util.Map.of()));
+        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResponse> then) {
+            then.accept(new ApiResponse(204, java.util.Map.of()));
         }
 
         @Override
@@ -55,8 +55,8 @@
         }
 
         @Override
-        public long rest(final World world, final long beat) {
-            return beat == 1 ? 500 : 2500 + world.dice().nextInt(500);
+        public long rest(final VirtualTime time, final long beat) {
+            return beat == 1 ? 500 : 2500 + time.dice().nextInt(500);
         }
     }
 
@@ -69,11 +69,11 @@
                 final String stamp,
                 final boolean out,
                 final long beat,
-                final Consumer<ApiResult> then) {
+                final Consumer<ApiResponse> then) {
             final SimOrigin.Make m = who.make();
             at.node()
-                    .registry()
-                    .beat(
+                    .originRegistry()
+                    .onHeartbeat(
                             stamp,
                             new Origin(
                                     who.stock().service(),
@@ -92,8 +92,8 @@
         }
 
         @Override
-        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResult> then) {
-            at.node().registry().end(stamp, then);
+        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResponse> then) {
+            at.node().originRegistry().onEnd(stamp, then);
         }
 
         @Override
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public long rest(final World world, final long beat) {
+        public long rest(final VirtualTime time, final long beat) {
             return beat == 1 ? 500 : 1500;
         }
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimPort.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
@@ -9,30 +9,30 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.control.Origin;
-import org.rowanvalve.data.AnswerCheck;
-import org.rowanvalve.data.Port;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.data.origin.OriginResponseValidator;
+import org.rowanvalve.data.origin.OriginTransport;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
 
 /** A shield's circuits to origins on virtual time. */
-public final class SimPort implements Port {
-    private final Yard yard;
+public final class SimOriginTransport implements OriginTransport {
+    private final OriginDirectory yard;
     private final SimNode self;
     private final Map<String, Long> open = new HashMap<>();
-    private final Set<Trip> trips = new LinkedHashSet<>();
+    private final Set<PendingExchange> trips = new LinkedHashSet<>();
 
     /** Who answers at which address. */
-    public static final class Yard {
-        private final World world;
-        private final SimNet net;
-        private final Log log;
+    public static final class OriginDirectory {
+        private final VirtualTime time;
+        private final SimTransport net;
+        private final RunLog log;
         private final Map<String, SimOrigin> sites = new TreeMap<>();
         private final Map<String, String> senders = new HashMap<>();
 
-        public Yard(final World world, final SimNet net, final Log log) {
-            this.world = world;
+        public OriginDirectory(final VirtualTime time, final SimTransport net, final RunLog log) {
+            this.time = time;
             this.net = net;
             this.log = log;
         }
@@ -46,21 +46,22 @@
             return senders.getOrDefault(request, "");
         }
 
-        SimPort port(final SimNode self) {
-            return new SimPort(this, self);
+        SimOriginTransport port(final SimNode self) {
+            return new SimOriginTransport(this, self);
         }
     }
 
-    private SimPort(final Yard yard, final SimNode self) {
+    private SimOriginTransport(final OriginDirectory yard, final SimNode self) {
         this.yard = yard;
         this.self = self;
     }
 
     @Override
-    public Rope send(final Origin to, final Send what, final Gate gate, final Consumer<Got> then) {
-        final Trip trip = new Trip(to, what, gate, then);
+    public Exchange send(
+            final Origin to, final OutboundRequest what, final Permission gate, final Consumer<OriginResponse> then) {
+        final PendingExchange trip = new PendingExchange(to, what, gate, then);
         trips.add(trip);
-        self.after(Math.max(20, what.span()), trip::late);
+        self.schedule(Math.max(20, what.timeoutMs()), trip::late);
         trip.begin();
         return trip;
     }
@@ -71,7 +72,7 @@
 
     /** A share of the circuits to origins is reset: requests on them are lost, later ones connect anew. */
     void resetCircuits(final DoubleSupplier roll, final double share) {
-        for (final Trip trip : List.copyOf(trips)) {
+        for (final PendingExchange trip : List.copyOf(trips)) {
             if (roll.getAsDouble() < share) {
                 open.remove(trip.site());
                 trip.broken();
@@ -79,15 +80,19 @@
         }
     }
 
-    private final class Trip implements Rope {
+    private final class PendingExchange implements Exchange {
         private final Origin to;
-        private final Send what;
-        private final Gate gate;
-        private final Consumer<Got> then;
+        private final OutboundRequest what;
+        private final Permission gate;
+        private final Consumer<OriginResponse> then;
         private boolean over;
         private boolean sent;
 
-        Trip(final Origin to, final Send what, final Gate gate, final Consumer<Got> then) {
+        PendingExchange(
+                final Origin to,
+                final OutboundRequest what,
+                final Permission gate,
+                final Consumer<OriginResponse> then) {
             this.gate = gate;
             this.to = to;
             this.what = what;
@@ -95,21 +100,21 @@
         }
 
         String site() {
-            return to.host() + "|" + to.service() + "|" + to.stamp();
+            return to.host() + "|" + to.service() + "|" + to.instance();
         }
 
         void broken() {
-            end(Got.none(sent ? End.LOST : End.NOT_SENT, "circuit reset"));
+            end(OriginResponse.without(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "circuit reset"));
         }
 
         void late() {
-            end(Got.none(sent ? End.LOST : End.NOT_SENT, "no answer in time"));
+            end(OriginResponse.without(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "no answer in time"));
         }
 
         private void hop(final Runnable job) {
             final long mine = self.life();
             final String me = self.id().text();
-            yard.world.in(yard.net.delay(me, to.host()), () -> {
+            yard.time.in(yard.net.delay(me, to.host()), () -> {
                 if (yard.net.open(me, to.host()) && yard.net.open(to.host(), me) && self.life() == mine) {
                     job.run();
                 }
@@ -126,16 +131,18 @@
             hop(() -> {
                 final SimOrigin who = yard.sites.get(to.host());
                 if (who == null || !who.alive()) {
-                    self.post(() -> end(Got.none(End.NOT_SENT, "connection refused")));
+                    self.execute(() -> end(OriginResponse.without(ExchangeResult.NOT_SENT, "connection refused")));
                     return;
                 }
-                hop(() -> self.post(() -> {
+                hop(() -> self.execute(() -> {
                     if (over) {
                         return;
                     }
                     if (!who.stock().service().equals(to.service())
-                            || !who.stamp().equals(to.stamp())) {
-                        end(Got.none(End.STRANGE, "identity " + who.stock().service() + " " + who.stamp()));
+                            || !who.stamp().equals(to.instance())) {
+                        end(OriginResponse.without(
+                                ExchangeResult.WRONG_INSTANCE,
+                                "identity " + who.stock().service() + " " + who.stamp()));
                         return;
                     }
                     open.put(site, who.life());
@@ -145,14 +152,15 @@
         }
 
         private void go(final SimOrigin who, final long life) {
-            if (!gate.open()) {
-                end(Got.none(End.BARRED, "the right to send ended before the bytes left"));
+            if (!gate.mayWrite()) {
+                end(OriginResponse.without(
+                        ExchangeResult.NOT_PERMITTED, "the right to send ended before the bytes left"));
                 return;
             }
             sent = true;
             hop(() -> {
                 if (!who.alive() || who.life() != life) {
-                    self.post(() -> end(Got.none(End.LOST, "circuit reset")));
+                    self.execute(() -> end(OriginResponse.without(ExchangeResult.LOST, "circuit reset")));
                     return;
                 }
                 arrive(who, life);
@@ -165,15 +173,16 @@
             final int here = slots == 0 ? 0 : who.enter();
             if (slots > 0 && here > 2 * slots) {
                 who.exit();
-                hop(() -> self.post(() -> end(Got.none(End.TURNED, "every slot is taken"))));
+                hop(() -> self.execute(
+                        () -> end(OriginResponse.without(ExchangeResult.NOT_EXECUTED, "every slot is taken"))));
                 return;
             }
-            yard.senders.put(what.id(), self.id().text());
-            yard.log.add(Log.row(
+            yard.senders.put(what.requestId(), self.id().text());
+            yard.log.add(RunLog.row(
                     "log",
                     "org",
                     "t",
-                    yard.world.now(),
+                    yard.time.now(),
                     "origin",
                     who.name(),
                     "service",
@@ -185,7 +194,7 @@
                     "what",
                     run ? "run" : "get",
                     "request",
-                    what.id(),
+                    what.requestId(),
                     "path",
                     what.path(),
                     "key",
@@ -195,43 +204,43 @@
             final String text =
                     run ? who.stock().run(what.path(), what.key()) : who.stock().view(what.path());
             if (who.fault().equals("lose")) {
-                yard.world.in(who.slow(), who::exit);
+                yard.time.in(who.slow(), who::exit);
                 return;
             }
             final long wait = slots == 0 ? 0 : who.slow() * Math.max(0, here - slots) / slots;
-            yard.world.in(who.slow() + wait, () -> {
+            yard.time.in(who.slow() + wait, () -> {
                 who.exit();
                 if (who.alive() && who.life() == life) {
-                    hop(() -> self.post(() -> end(whole(who, run, text))));
+                    hop(() -> self.execute(() -> end(whole(who, run, text))));
                 } else {
-                    hop(() -> self.post(() -> end(Got.none(End.LOST, "circuit reset"))));
+                    hop(() -> self.execute(() -> end(OriginResponse.without(ExchangeResult.LOST, "circuit reset"))));
                 }
             });
         }
 
-        private Got whole(final SimOrigin who, final boolean run, final String text) {
+        private OriginResponse whole(final SimOrigin who, final boolean run, final String text) {
             final byte[] body = text.getBytes(StandardCharsets.UTF_8);
             final Map<String, String> heads = new TreeMap<>();
             heads.put("content-type", "application/json");
             heads.put("content-length", String.valueOf(body.length));
-            heads.put(AnswerCheck.STAMP, who.stamp());
-            heads.put(AnswerCheck.REQUEST, what.id());
-            heads.put(AnswerCheck.DIGEST, Hash.digest(body));
+            heads.put(OriginResponseValidator.INSTANCE_HEADER, who.stamp());
+            heads.put(OriginResponseValidator.REQUEST_HEADER, what.requestId());
+            heads.put(OriginResponseValidator.DIGEST_HEADER, Hash.sha256Hex(body));
             if (who.fault().equals("wrong")) {
                 body[body.length - 2] ^= 1;
             }
-            final Got own = new Got(
-                    End.WHOLE,
+            final OriginResponse own = new OriginResponse(
+                    ExchangeResult.COMPLETE,
                     run ? 201 : 200,
                     heads,
                     body,
                     "",
-                    run || who.make().slots() == 0 ? List.of() : List.of(Stock.tag(what.path())),
+                    run || who.make().slots() == 0 ? List.of() : List.of(StandInBackend.tag(what.path())),
                     Load.NONE);
             return who.fault().equals("surplus") ? who.late(own) : own;
         }
 
-        private void end(final Got got) {
+        private void end(final OriginResponse got) {
             trips.remove(this);
             if (!over) {
                 over = true;
@@ -240,7 +249,7 @@
         }
 
         @Override
-        public void cut() {
+        public void abort() {
             trips.remove(this);
             over = true;
         }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigins.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigins.java
@@ -3,34 +3,35 @@
 import java.util.Collection;
 import java.util.Map;
 import java.util.TreeMap;
-import org.rowanvalve.testkit.Place;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** A deployment's origins, and what happens to them as a group: addresses change hands, machines are replaced. */
 public final class SimOrigins {
     private final SimCluster cluster;
-    private final SimPort.Yard yard;
+    private final SimOriginTransport.OriginDirectory yard;
     private final SimOrigin.Word word;
     private final Map<String, SimOrigin> origins = new TreeMap<>();
-    private final Map<String, Stock> stocks = new TreeMap<>();
+    private final Map<String, StandInBackend> stocks = new TreeMap<>();
 
-    SimOrigins(final SimCluster cluster, final SimPort.Yard yard) {
+    SimOrigins(final SimCluster cluster, final SimOriginTransport.OriginDirectory yard) {
         this.cluster = cluster;
         this.yard = yard;
-        final Place place = cluster.place();
-        word = place.shieldRun() ? new OriginAnnouncements.Beating() : new OriginAnnouncements.Announced();
+        final Deployment deployment = cluster.place();
+        word = deployment.shieldRun() ? new SimOriginAnnouncements.Beating() : new SimOriginAnnouncements.Announced();
         int at = 0;
-        for (final Place.Kin k : place.kin()) {
-            final Stock stock = stockOf(k);
-            stocks.put(k.service(), stock);
+        for (final Deployment.Kin k : deployment.kin()) {
+            final StandInBackend backend = stockOf(k);
+            stocks.put(k.service(), backend);
             for (int i = 1; i <= k.origins(); i++) {
-                add(make(k.service() + i, profile(k, i), stock, "127.1.0." + ++at));
+                add(make(k.service() + i, profile(k, i), backend, "127.1.0." + ++at));
             }
         }
     }
 
-    private SimOrigin make(final String name, final SimOrigin.Make profile, final Stock stock, final String host) {
-        return new SimOrigin(cluster.world(), cluster.log(), name, profile, stock, host, cluster::controlNode, word);
+    private SimOrigin make(
+            final String name, final SimOrigin.Make profile, final StandInBackend backend, final String host) {
+        return new SimOrigin(cluster.world(), cluster.log(), name, profile, backend, host, cluster::controlNode, word);
     }
 
     private void add(final SimOrigin o) {
@@ -39,25 +40,25 @@
     }
 
     /** A service that gets a part of another's objects has the same. */
-    private Stock stockOf(final Place.Kin kin) {
+    private StandInBackend stockOf(final Deployment.Kin kin) {
         return cluster.place().kin().stream()
                 .filter(k -> !k.equals(kin)
                         && kin.ways().isEmpty()
                         && k.ways().stream().anyMatch(w -> w.split().containsKey(kin.service())))
                 .findFirst()
                 .map(k -> stocks.get(k.service()).twin(kin.service()))
-                .orElseGet(() -> new Stock(kin.service()));
+                .orElseGet(() -> new StandInBackend(kin.service()));
     }
 
-    private SimOrigin.Make profile(final Place.Kin kin, final int i) {
-        final Place place = cluster.place();
-        return !place.shieldRun()
+    private SimOrigin.Make profile(final Deployment.Kin kin, final int i) {
+        final Deployment deployment = cluster.place();
+        return !deployment.shieldRun()
                 ? SimOrigin.Make.plain(kin.kind())
                 : new SimOrigin.Make(
                         kin.kind(),
                         kin.rate() > 0 ? 32 : 4,
                         kin.rate() > 0 ? 30 : 60,
-                        place.cells().get(i % place.cells().size()));
+                        deployment.cells().get(i % deployment.cells().size()));
     }
 
     public Collection<SimOrigin> values() {
@@ -68,14 +69,15 @@
         return origins.get(name);
     }
 
-    public Stock stock(final String service) {
+    public StandInBackend stock(final String service) {
         return stocks.get(service);
     }
 
     /** One more origin, of a service of its own. */
     public void start(final String name, final String service, final String kind) {
         final String host = "127.1.2." + (1 + cluster.world().serial() % 250);
-        final SimOrigin o = make(name, SimOrigin.Make.plain(kind), stocks.computeIfAbsent(service, Stock::new), host);
+        final SimOrigin o =
+                make(name, SimOrigin.Make.plain(kind), stocks.computeIfAbsent(service, StandInBackend::new), host);
         add(o);
         o.start();
     }
@@ -133,10 +135,10 @@
                 cluster.log(),
                 "stranger",
                 SimOrigin.Make.plain("content"),
-                new Stock("stranger"),
+                new StandInBackend("stranger"),
                 o.host(),
                 () -> null,
-                new OriginAnnouncements.Announced());
+                new SimOriginAnnouncements.Announced());
         other.start();
         yard.move(o.host(), other);
         cluster.world().in(ms, () -> {
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimDisk.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimStorage.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.rowanvalve.common.Disk;
+import org.rowanvalve.common.runtime.StableStorage;
 
 /** A machine's disk. What is not synced when the machine dies is gone. */
-public final class SimDisk {
-    private final World world;
+public final class SimStorage {
+    private final VirtualTime time;
     private final long sync;
     private final Map<String, byte[]> rows = new TreeMap<>();
     private long stalled;
@@ -18,8 +18,8 @@
     private double factor = 1;
     private long syncs;
 
-    public SimDisk(final World world, final long sync) {
-        this.world = world;
+    public SimStorage(final VirtualTime time, final long sync) {
+        this.time = time;
         this.sync = sync;
     }
 
@@ -50,11 +50,11 @@
     }
 
     /** One process's hold on the disk; it ends with the process. */
-    Disk open(final SimNode node) {
+    StableStorage open(final SimNode node) {
         return new Grip(node, node.life());
     }
 
-    private final class Grip implements Disk {
+    private final class Grip implements StableStorage {
         private final SimNode node;
         private final long life;
         private final List<Runnable> wait = new ArrayList<>();
@@ -84,7 +84,7 @@
                     });
                 }
                 final boolean ok = !full;
-                node.post(() -> done.accept(ok));
+                node.execute(() -> done.accept(ok));
             });
             pump();
         }
@@ -96,7 +96,7 @@
             busy = true;
             final List<Runnable> batch = new ArrayList<>(wait);
             wait.clear();
-            world.at(Math.max(world.now(), stalled) + Math.round(sync * factor), () -> {
+            time.at(Math.max(time.now(), stalled) + Math.round(sync * factor), () -> {
                 if (node.life() == life && node.alive()) {
                     syncs++;
                     batch.forEach(Runnable::run);
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimNet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimTransport.java
@@ -8,16 +8,16 @@
 import java.util.TreeMap;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.Net;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.common.Wire;
-import org.rowanvalve.common.WireTrouble;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.MessageCodec;
+import org.rowanvalve.common.message.MessageFormatException;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.Transport;
 
 /** Links with delay, jitter, stalls for lost packets, and cuts in either direction. Every message goes through the wire format. */
-public final class SimNet {
-    private final World world;
+public final class SimTransport {
+    private final VirtualTime time;
     private final BiFunction<String, String, Long> base;
     private final Map<NodeId, SimNode> nodes = new TreeMap<>();
     private final Map<String, Integer> cuts = new HashMap<>();
@@ -30,15 +30,15 @@
     private long sent;
     private long bytes;
     private BiFunction<NodeId, byte[], byte[]> word = (from, data) -> data;
-    private java.util.function.BiConsumer<NodeId, Msg> tap = (to, msg) -> {};
+    private java.util.function.BiConsumer<NodeId, Message> tap = (to, msg) -> {};
 
-    public SimNet(final World world, final BiFunction<String, String, Long> base) {
-        this.world = world;
+    public SimTransport(final VirtualTime time, final BiFunction<String, String, Long> base) {
+        this.time = time;
         this.base = base;
     }
 
-    void join(final SimNode n) {
-        nodes.put(n.id(), n);
+    void join(final SimNode node) {
+        nodes.put(node.id(), node);
     }
 
     public void loss(final double p) {
@@ -85,11 +85,11 @@
     }
 
     /** Sees every question that arrives. */
-    public void tap(final java.util.function.BiConsumer<NodeId, Msg> see) {
+    public void tap(final java.util.function.BiConsumer<NodeId, Message> see) {
         tap = see;
     }
 
-    private void weigh(final Msg msg, final int size) {
+    private void weigh(final Message msg, final int size) {
         bytes += size;
         kinds.merge(msg.getClass().getSimpleName(), (long) size, Long::sum);
     }
@@ -109,10 +109,10 @@
 
     public long delay(final String from, final String to) {
         long d = base.apply(from, to)
-                + world.dice().nextInt(2)
-                + (slow == 0 ? 0 : world.dice().nextInt((int) slow));
-        if (loss > 0 && world.dice().nextDouble() < loss) {
-            d += 200 + world.dice().nextInt(200);
+                + time.dice().nextInt(2)
+                + (slow == 0 ? 0 : time.dice().nextInt((int) slow));
+        if (loss > 0 && time.dice().nextDouble() < loss) {
+            d += 200 + time.dice().nextInt(200);
         }
         return d;
     }
@@ -123,51 +123,54 @@
             return;
         }
         final String link = from + ">" + to;
-        final long due = Math.max(world.now() + delay(from, to), last.getOrDefault(link, 0L));
+        final long due = Math.max(time.now() + delay(from, to), last.getOrDefault(link, 0L));
         last.put(link, due);
-        world.at(due, () -> {
+        time.at(due, () -> {
             if (open(from, to)) {
                 job.run();
             }
         });
     }
 
-    Net of(final SimNode self) {
+    Transport of(final SimNode self) {
         return (to, msg, wait, then) -> ask(self, to, msg, wait, then);
     }
 
-    private void ask(final SimNode self, final NodeId to, final Msg msg, final long wait, final Consumer<Reply> then) {
+    private void ask(
+            final SimNode self, final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
         final Question question = new Question(self, to, then);
-        self.after(wait, () -> question.answered(Reply.lost(Reply.Trouble.NO_ANSWER)));
+        self.schedule(wait, () -> question.answered(Reply.failed(Reply.Failure.NO_RESPONSE)));
         if (to.equals(self.id())) {
-            self.post(() -> self.node().take(self.id(), msg, m -> question.hear(Reply.of(m))));
+            self.execute(() -> self.node().handle(self.id(), msg, m -> question.hear(Reply.of(m))));
             return;
         }
-        final byte[] data =
-                word.apply(self.id(), Wire.pack(new Wire.Envelope(Wire.VERSION, ++sent, 0, self.id(), msg)));
+        final byte[] data = word.apply(
+                self.id(),
+                MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, ++sent, 0, self.id(), msg)));
         weigh(msg, data.length);
         question.begin();
         carry(self.id().text(), to.text(), () -> arrive(question, msg, data));
     }
 
-    private void arrive(final Question question, final Msg msg, final byte[] data) {
+    private void arrive(final Question question, final Message msg, final byte[] data) {
         final SimNode peer = nodes.get(question.to);
         if (question.reset) {
             return;
         }
         if (peer == null || !peer.alive()) {
-            question.carryBack(Reply.lost(Reply.Trouble.NOT_SENT));
+            question.carryBack(Reply.failed(Reply.Failure.NOT_SENT));
             return;
         }
         final long life = peer.life();
         tap.accept(question.to, msg);
         question.arrived();
-        peer.post(() -> peer.node().take(question.self.id(), open(data).msg(), m -> {
-            final byte[] back =
-                    word.apply(question.to, Wire.pack(new Wire.Envelope(Wire.VERSION, 0, 1, question.to, m)));
+        peer.execute(() -> peer.node().handle(question.self.id(), open(data).message(), m -> {
+            final byte[] back = word.apply(
+                    question.to,
+                    MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 0, 1, question.to, m)));
             weigh(m, back.length);
             if (peer.life() == life && peer.alive()) {
-                question.carryBack(Reply.of(open(back).msg()));
+                question.carryBack(Reply.of(open(back).message()));
             }
         }));
     }
@@ -179,7 +182,7 @@
         private final Consumer<Reply> then;
         private final long life;
         private final String link;
-        private final Runnable peerEnded = () -> carryBack(Reply.lost(Reply.Trouble.NO_ANSWER));
+        private final Runnable peerEnded = () -> carryBack(Reply.failed(Reply.Failure.NO_RESPONSE));
         private final Runnable circuitReset = this::reset;
         private boolean over;
         private boolean reset;
@@ -202,33 +205,33 @@
 
         private void reset() {
             reset = true;
-            hear(Reply.lost(Reply.Trouble.NO_ANSWER));
+            hear(Reply.failed(Reply.Failure.NO_RESPONSE));
         }
 
-        void carryBack(final Reply r) {
-            carry(to.text(), self.id().text(), () -> hear(r));
+        void carryBack(final Reply reply) {
+            carry(to.text(), self.id().text(), () -> hear(reply));
         }
 
-        void hear(final Reply r) {
+        void hear(final Reply reply) {
             if (self.life() == life) {
-                self.post(() -> answered(r));
+                self.execute(() -> answered(reply));
             }
         }
 
-        void answered(final Reply r) {
+        void answered(final Reply reply) {
             if (!over) {
                 over = true;
                 begun.computeIfPresent(to, (k, all) -> all.remove(peerEnded) && all.isEmpty() ? null : all);
                 underWay.computeIfPresent(link, (k, all) -> all.remove(circuitReset) && all.isEmpty() ? null : all);
-                then.accept(r);
+                then.accept(reply);
             }
         }
     }
 
-    private static Wire.Envelope open(final byte[] data) {
+    private static MessageCodec.Frame open(final byte[] data) {
         try {
-            return Wire.open(data);
-        } catch (final WireTrouble e) {
+            return MessageCodec.decodeFrame(data);
+        } catch (final MessageFormatException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderClient.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateClient.java
@@ -8,13 +8,13 @@
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.control.Purge;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** Sends orders and purges to any shield, and repeats them at other ones until the answer is clear. */
-final class OrderClient {
+final class UpdateClient {
     private static final int ORDER_TRIES = 100;
     private static final int LONGEST_PAUSE = 10;
     private static final int HARD_TRIES = 20;
@@ -24,16 +24,16 @@
     private static final long NOBODY_UP_MS = 500;
     private static final long SILENCE_MS = 1000;
     private final SimCluster cluster;
-    private final List<Order> answered = new ArrayList<>();
+    private final List<OperatorUpdate> answered = new ArrayList<>();
     private double lostShare;
     private String lastAcknowledger = "";
 
-    OrderClient(final SimCluster cluster) {
+    UpdateClient(final SimCluster cluster) {
         this.cluster = cluster;
     }
 
     /** Orders that were answered clearly. */
-    List<Order> answered() {
+    List<OperatorUpdate> answered() {
         return answered;
     }
 
@@ -46,7 +46,7 @@
         lostShare = share;
     }
 
-    private World world() {
+    private VirtualTime world() {
         return cluster.world();
     }
 
@@ -57,7 +57,7 @@
 
     /** One order on its way: until an answer is clear, or the tries are used up. */
     private final class Sending {
-        private final Order order;
+        private final OperatorUpdate order;
         private final long from = world().now();
         private final Set<String> asked = new HashSet<>();
         private final Consumer<SimNode> sent;
@@ -66,13 +66,13 @@
         private int tries;
         private boolean clear;
 
-        Sending(final Order order, final Consumer<SimNode> sent, final Ending ending) {
+        Sending(final OperatorUpdate order, final Consumer<SimNode> sent, final Ending ending) {
             this.order = order;
             this.sent = sent;
             this.ending = ending;
             order.items().forEach(item -> cluster.log().add(item.row("sent", from, from, 0)));
             cluster.log()
-                    .add(Log.row(
+                    .add(RunLog.row(
                             "log",
                             "order",
                             "t",
@@ -80,7 +80,7 @@
                             "id",
                             order.id(),
                             "items",
-                            order.items().stream().map(OrderItem::mark).toList()));
+                            order.items().stream().map(UpdateItem::mark).toList()));
         }
 
         /** At other nodes first, after a failure or a second of silence, with a pause that grows. */
@@ -103,15 +103,16 @@
         /** One that was not asked yet; where all were, any but the last. */
         private SimNode notAsked() {
             final List<SimNode> up = cluster.nodes().values().stream()
-                    .filter(n -> n.role() == Role.SHIELD && n.alive())
+                    .filter(node -> node.role() == Role.SHIELD && node.alive())
+                    .toList();
+            final List<SimNode> fresh = up.stream()
+                    .filter(node -> !asked.contains(node.id().text()))
                     .toList();
-            final List<SimNode> fresh =
-                    up.stream().filter(n -> !asked.contains(n.id().text())).toList();
             if (!fresh.isEmpty()) {
                 return any(fresh);
             }
             final List<SimNode> others =
-                    up.stream().filter(n -> !n.id().text().equals(last)).toList();
+                    up.stream().filter(node -> !node.id().text().equals(last)).toList();
             return any(others.isEmpty() ? up : others);
         }
 
@@ -135,7 +136,7 @@
             sent.accept(at);
             world().in(1, () -> {
                 if (at.alive() && at.life() == life) {
-                    at.post(() -> at.node().orders().patch(order.text(), s -> {
+                    at.execute(() -> at.node().updateService().apply(order.text(), s -> {
                         final boolean lost = world().dice().nextDouble() < lostShare;
                         note("order", t, at, order.id(), s, lost);
                         if (!lost) {
@@ -147,7 +148,7 @@
             world().in(SILENCE_MS, once);
         }
 
-        private void answer(final SimNode at, final ApiResult s, final Runnable again) {
+        private void answer(final SimNode at, final ApiResponse s, final Runnable again) {
             if (clear) {
                 return;
             }
@@ -183,10 +184,10 @@
             final long t,
             final SimNode at,
             final Long order,
-            final ApiResult s,
+            final ApiResponse s,
             final boolean lost) {
         cluster.log()
-                .add(Log.row(
+                .add(RunLog.row(
                         "log",
                         "try",
                         "kind",
@@ -206,29 +207,29 @@
     }
 
     /** {@code sent} hears each machine that it is sent to. */
-    void send(final Order order, final Consumer<SimNode> sent, final Ending ending) {
+    void send(final OperatorUpdate order, final Consumer<SimNode> sent, final Ending ending) {
         new Sending(order, sent, ending).next();
     }
 
     /** To this machine first, then as any other. */
-    void sendFirstTo(final Order order, final SimNode at) {
-        final Sending sending = new Sending(order, n -> {}, (n, status) -> {});
+    void sendFirstTo(final OperatorUpdate order, final SimNode at) {
+        final Sending sending = new Sending(order, node -> {}, (node, status) -> {});
         sending.tryAt(at, () -> world().in(PAUSE_MS, sending::next));
     }
 
-    void sendUntilAnswered(final Order order, final SimNode at) {
-        new Sending(order, n -> {}, (n, status) -> {}).insist(at);
+    void sendUntilAnswered(final OperatorUpdate order, final SimNode at) {
+        new Sending(order, node -> {}, (node, status) -> {}).insist(at);
     }
 
     /** Something that must not be taken, once. */
-    void tryInvalid(final Order order, final SimNode at) {
+    void tryInvalid(final OperatorUpdate order, final SimNode at) {
         final long t = world().now();
-        at.post(() -> at.node().orders().patch(order.text(), s -> note("invalid", t, at, null, s, false)));
+        at.execute(() -> at.node().updateService().apply(order.text(), s -> note("invalid", t, at, null, s, false)));
     }
 
     void tryPurge(final Purge what, final SimNode at) {
         final long t = world().now();
-        at.post(() -> at.node().orders().purge(what, s -> note("purge", t, at, null, s, false)));
+        at.execute(() -> at.node().updateService().purge(what, s -> note("purge", t, at, null, s, false)));
     }
 
     void purge(final Purge what, final Map<String, Object> facts) {
@@ -251,7 +252,7 @@
             return;
         }
         final long t = world().now();
-        at.post(() -> at.node().orders().purge(what, s -> {
+        at.execute(() -> at.node().updateService().purge(what, s -> {
             note("purge", t, at, null, s, false);
             if (over[0] || s.status() != 200) {
                 again.run();
@@ -259,7 +260,7 @@
             }
             over[0] = true;
             final String item = String.valueOf(s.body().get("item")).replace("purge/", "PURGE/");
-            final Map<String, Object> row = Log.row(
+            final Map<String, Object> row = RunLog.row(
                     "log",
                     "op",
                     "t",
@@ -280,18 +281,19 @@
     }
 
     /** Something that must not be taken, to any node; where nobody is up, later. */
-    void sendInvalid(final Supplier<Order> draft, final IntConsumer then) {
+    void sendInvalid(final Supplier<OperatorUpdate> draft, final IntConsumer then) {
         final SimNode at = cluster.controlNode();
         if (at == null) {
             world().in(NOBODY_UP_MS, () -> sendInvalid(draft, then));
             return;
         }
-        final Order order = draft.get();
+        final OperatorUpdate order = draft.get();
         final long t = world().now();
-        at.post(() -> at.node().orders().patch(order.text(), s -> {
+        at.execute(() -> at.node().updateService().apply(order.text(), s -> {
             note("invalid", t, at, null, s, false);
             cluster.log()
-                    .add(Log.row("log", "op", "t", t, "end", world().now(), "what", "invalid", "status", s.status()));
+                    .add(RunLog.row(
+                            "log", "op", "t", t, "end", world().now(), "what", "invalid", "status", s.status()));
             then.accept(s.status());
         }));
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderDraft.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateGenerator.java
@@ -5,31 +5,31 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Writes the items of orders: bodies drawn around the place's own, versions that rise in steps of unequal size. */
-final class OrderDraft {
+final class UpdateGenerator {
     private static final long FIRST_VERSION = 7;
     private static final int ATTEMPTS = 2;
-    private final Place place;
+    private final Deployment deployment;
     private final Random random;
     private final Map<String, Long> versions = new TreeMap<>();
     private long notes;
     private long orders;
 
-    OrderDraft(final Place place, final Random random) {
-        this.place = place;
+    UpdateGenerator(final Deployment deployment, final Random random) {
+        this.deployment = deployment;
         this.random = random;
     }
 
-    Order order(final OrderItem... items) {
-        return new Order(++orders, List.of(items));
+    OperatorUpdate order(final UpdateItem... items) {
+        return new OperatorUpdate(++orders, List.of(items));
     }
 
     /** The next version of an item. */
-    long nextVersion(final Kind kind, final String name) {
+    long nextVersion(final ItemKind kind, final String name) {
         return versions.merge(kind + name, FIRST_VERSION, (a, b) -> a + 1 + random.nextInt(5));
     }
 
@@ -43,29 +43,29 @@
         return ++notes;
     }
 
-    Place.EdgeRouting anyRoute() {
-        return place.ways().get(random.nextInt(place.ways().size()));
+    Deployment.EdgeRouting anyRoute() {
+        return deployment.ways().get(random.nextInt(deployment.ways().size()));
     }
 
-    Place.Kin anyService() {
-        return place.kin().get(random.nextInt(place.kin().size()));
+    Deployment.Kin anyService() {
+        return deployment.kin().get(random.nextInt(deployment.kin().size()));
     }
 
     /** All that the place needs. */
-    Order first() {
-        final List<OrderItem> all = new ArrayList<>();
-        place.kin().forEach(k -> all.add(service(k)));
-        place.ways().forEach(w -> all.add(route(w)));
+    OperatorUpdate first() {
+        final List<UpdateItem> all = new ArrayList<>();
+        deployment.kin().forEach(k -> all.add(service(k)));
+        deployment.ways().forEach(w -> all.add(route(w)));
         all.add(limits());
-        return order(all.toArray(OrderItem[]::new));
+        return order(all.toArray(UpdateItem[]::new));
     }
 
-    OrderItem service(final Place.Kin k) {
-        return new OrderItem(
-                Kind.SERVICE,
+    UpdateItem service(final Deployment.Kin k) {
+        return new UpdateItem(
+                ItemKind.SERVICE,
                 k.service(),
-                nextVersion(Kind.SERVICE, k.service()),
-                Log.row(
+                nextVersion(ItemKind.SERVICE, k.service()),
+                RunLog.row(
                         "kind",
                         k.kind(),
                         "ceiling",
@@ -76,23 +76,23 @@
                         nextNote(),
                         "cutoffMs",
                         1500 + random.nextInt(1000)),
-                Log.row("service", k.service(), "ceiling", k.rate()));
+                RunLog.row("service", k.service(), "ceiling", k.rate()));
     }
 
-    OrderItem route(final Place.EdgeRouting w) {
-        return route(w, nextVersion(Kind.ROUTE, w.route()));
+    UpdateItem route(final Deployment.EdgeRouting w) {
+        return route(w, nextVersion(ItemKind.ROUTE, w.route()));
     }
 
-    OrderItem route(final Place.EdgeRouting w, final long version) {
+    UpdateItem route(final Deployment.EdgeRouting w, final long version) {
         final List<Map<String, Object>> split = new ArrayList<>();
         w.split()
-                .forEach((s, n) -> split.add(Log.row(
+                .forEach((s, n) -> split.add(RunLog.row(
                         "service", s, "weight", w.split().size() == 1 ? n : Math.max(1, n - 5 + random.nextInt(11)))));
-        return new OrderItem(
-                Kind.ROUTE,
+        return new UpdateItem(
+                ItemKind.ROUTE,
                 w.route(),
                 version,
-                Log.row(
+                RunLog.row(
                         "host",
                         w.host(),
                         "prefix",
@@ -115,7 +115,7 @@
                         true,
                         "note",
                         nextNote()),
-                Log.row(
+                RunLog.row(
                         "prefix",
                         w.prefix(),
                         "services",
@@ -124,12 +124,12 @@
                         ATTEMPTS));
     }
 
-    private OrderItem limits() {
-        return new OrderItem(
-                Kind.LIMIT,
+    private UpdateItem limits() {
+        return new UpdateItem(
+                ItemKind.LIMIT,
                 "limits",
-                nextVersion(Kind.LIMIT, "limits"),
-                Log.row(
+                nextVersion(ItemKind.LIMIT, "limits"),
+                RunLog.row(
                         "headBytes",
                         16_384,
                         "bodyBytes",
@@ -144,17 +144,17 @@
     }
 
     /** One good item and one whose service nobody stated. */
-    Order invalid() {
-        final Place.Kin first = place.kin().get(0);
-        final OrderItem good = new OrderItem(
-                Kind.SERVICE,
+    OperatorUpdate invalid() {
+        final Deployment.Kin first = deployment.kin().get(0);
+        final UpdateItem good = new UpdateItem(
+                ItemKind.SERVICE,
                 first.service(),
                 Long.MAX_VALUE / 2,
                 service(first).body(),
                 Map.of());
         final Map<String, Object> body =
-                new TreeMap<>(route(place.ways().get(0)).body());
+                new TreeMap<>(route(deployment.ways().get(0)).body());
         body.put("split", List.of(Map.of("service", "nobody", "weight", 1)));
-        return order(good, new OrderItem(Kind.ROUTE, "faulty", 9, body, Map.of()));
+        return order(good, new UpdateItem(ItemKind.ROUTE, "faulty", 9, body, Map.of()));
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderItem.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateItem.java
@@ -1,11 +1,11 @@
 package org.rowanvalve.testkit.sim;
 
 import java.util.Map;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.testkit.Log;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** One item of an operator's order; a {@code body} of null drops it. {@code facts} go into the log beside it. */
-record OrderItem(Kind kind, String name, long version, Map<String, Object> body, Map<String, Object> facts) {
+record UpdateItem(ItemKind kind, String name, long version, Map<String, Object> body, Map<String, Object> facts) {
     String id() {
         return kind.code() + "/" + name;
     }
@@ -20,7 +20,7 @@
     }
 
     Map<String, Object> row(final String what, final long t, final long end, final int status) {
-        final Map<String, Object> row = Log.row(
+        final Map<String, Object> row = RunLog.row(
                 "log",
                 "op",
                 "t",
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OrderOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
@@ -7,29 +7,29 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.IntConsumer;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Purge;
-import org.rowanvalve.data.ClientRequest;
-import org.rowanvalve.testkit.Log;
-import org.rowanvalve.testkit.Place;
-import org.rowanvalve.testkit.Stock;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** Operators who state items under versions of their own, at any shield, and repeat a call until its answer is clear. */
-public final class OrderOperator implements Operators {
+public final class UpdateOperator implements OperatorWorkload {
     private static final String BLINK = "blink";
     private final SimCluster cluster;
-    private final OrderDraft draft;
-    private final OrderClient client;
-    private final ConfigReader reader;
+    private final UpdateGenerator draft;
+    private final UpdateClient client;
+    private final ConfigurationReader reader;
     private boolean on;
     private boolean shown;
 
-    OrderOperator(final SimCluster cluster) {
+    UpdateOperator(final SimCluster cluster) {
         this.cluster = cluster;
-        draft = new OrderDraft(cluster.place(), cluster.world().dice());
-        client = new OrderClient(cluster);
-        reader = new ConfigReader(cluster);
+        draft = new UpdateGenerator(cluster.place(), cluster.world().dice());
+        client = new UpdateClient(cluster);
+        reader = new ConfigurationReader(cluster);
     }
 
     private Random random() {
@@ -40,7 +40,7 @@
         return cluster.world().now();
     }
 
-    private void send(final Order order) {
+    private void send(final OperatorUpdate order) {
         client.send(order, sent -> {}, (at, status) -> {});
     }
 
@@ -74,8 +74,8 @@
 
     /** Two operators, one version, two bodies, two nodes. */
     public void race() {
-        final Place.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(Kind.ROUTE, w.route());
+        final Deployment.EdgeRouting w = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
         for (int i = 0; i < 2; i++) {
             send(draft.order(draft.route(w, version)));
         }
@@ -83,19 +83,19 @@
 
     /** Two calls that share one item under one version, and have one each of their own, in opposite order. */
     private void overlappingRace() {
-        final Place.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(Kind.ROUTE, w.route());
-        final OrderItem left = extraRoute("left");
-        final OrderItem right = extraRoute("right");
+        final Deployment.EdgeRouting w = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
+        final UpdateItem left = extraRoute("left");
+        final UpdateItem right = extraRoute("right");
         send(draft.order(left, draft.route(w, version)));
         send(draft.order(draft.route(w, version), right));
     }
 
     /** The same calls as everybody's, at one machine first; what it answers while cut off is for the judge. */
     void callAt(final SimNode at, final Set<String> how) {
-        final Place.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(Kind.ROUTE, w.route());
-        final Order order = draft.order(draft.route(w, version));
+        final Deployment.EdgeRouting w = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
+        final OperatorUpdate order = draft.order(draft.route(w, version));
         if (how.contains("hard")) {
             client.sendUntilAnswered(order, at);
         } else {
@@ -120,7 +120,7 @@
     }
 
     /** {@code sent} hears each machine that a change is sent to, {@code ending} how that ended. */
-    void change(final Consumer<SimNode> sent, final OrderClient.Ending ending) {
+    void change(final Consumer<SimNode> sent, final UpdateClient.Ending ending) {
         client.send(draft.order(draft.route(draft.anyRoute())), sent, ending);
     }
 
@@ -154,16 +154,16 @@
         }
     }
 
-    private OrderItem extraRoute(final String name) {
-        final Place.EdgeRouting model = draft.anyRoute();
-        return draft.route(new Place.EdgeRouting(
+    private UpdateItem extraRoute(final String name) {
+        final Deployment.EdgeRouting model = draft.anyRoute();
+        return draft.route(new Deployment.EdgeRouting(
                 name, "/" + name + "/", model.mode(), model.lifetimeMs(), true, 0, 1, model.host(), model.split()));
     }
 
     private void extra() {
         final String name = "extra" + random().nextInt(4);
-        final OrderItem set = extraRoute(name);
-        final OrderItem drop = new OrderItem(Kind.ROUTE, name, set.version(), null, Map.of());
+        final UpdateItem set = extraRoute(name);
+        final UpdateItem drop = new UpdateItem(ItemKind.ROUTE, name, set.version(), null, Map.of());
         send(draft.order(random().nextBoolean() ? set : drop));
     }
 
@@ -173,14 +173,14 @@
             return;
         }
         shown = !shown;
-        final Place.EdgeRouting w = cluster.place().ways().get(0);
-        final OrderItem set =
-                draft.route(new Place.EdgeRouting(BLINK, "/blink/", "cached", 500, true, 0, 1, w.host(), w.split()));
+        final Deployment.EdgeRouting w = cluster.place().ways().get(0);
+        final UpdateItem set = draft.route(
+                new Deployment.EdgeRouting(BLINK, "/blink/", "cached", 500, true, 0, 1, w.host(), w.split()));
         final Map<String, Object> facts = new TreeMap<>(set.facts());
         facts.put("shown", shown);
-        send(draft.order(new OrderItem(Kind.ROUTE, BLINK, set.version(), shown ? set.body() : null, facts)));
+        send(draft.order(new UpdateItem(ItemKind.ROUTE, BLINK, set.version(), shown ? set.body() : null, facts)));
         if (!shown) {
-            final OrderItem old = new OrderItem(Kind.ROUTE, BLINK, set.version() - 1, set.body(), set.facts());
+            final UpdateItem old = new UpdateItem(ItemKind.ROUTE, BLINK, set.version() - 1, set.body(), set.facts());
             cluster.world().in(1500, () -> send(draft.order(old)));
         }
         cluster.world().in(6000 + random().nextInt(2000), this::blink);
@@ -191,23 +191,23 @@
             return;
         }
         cluster.nodes().values().stream()
-                .filter(n -> n.role() == Role.EDGE && n.alive())
+                .filter(node -> node.role() == Role.EDGE && node.alive())
                 .forEach(this::probe);
         cluster.world().in(500, this::probe);
     }
 
-    private void probe(final SimNode n) {
+    private void probe(final SimNode node) {
         final long t = now();
         final String host = cluster.place().ways().get(0).host();
-        n.post(() -> {
+        node.execute(() -> {
             final ClientRequest request = new ClientRequest(
                     "GET", host, "/blink/1", null, new byte[0], "", "p-" + draft.nextNumber(), 1000, null, Map.of());
-            n.node()
+            node.node()
                     .edge()
-                    .take(
+                    .handle(
                             request,
-                            a -> cluster.log()
-                                    .add(Log.row(
+                            response -> cluster.log()
+                                    .add(RunLog.row(
                                             "log",
                                             "probe",
                                             "t",
@@ -215,13 +215,13 @@
                                             "end",
                                             now(),
                                             "node",
-                                            n.id().text(),
+                                            node.id().text(),
                                             "status",
-                                            a.status())));
+                                            response.status())));
         });
     }
 
-    private List<Place.EdgeRouting> cachedRoutes() {
+    private List<Deployment.EdgeRouting> cachedRoutes() {
         return cluster.place().ways().stream()
                 .filter(w -> w.mode().equals("cached"))
                 .toList();
@@ -232,8 +232,8 @@
         if (!on) {
             return;
         }
-        final List<Place.EdgeRouting> ways = cachedRoutes();
-        final Place.EdgeRouting w = ways.get(random().nextInt(ways.size()));
+        final List<Deployment.EdgeRouting> ways = cachedRoutes();
+        final Deployment.EdgeRouting w = ways.get(random().nextInt(ways.size()));
         final double roll = random().nextDouble();
         final String path = w.prefix() + (int) (w.objects() * roll * roll * roll);
         final String service = cluster.place().kin().stream()
@@ -242,7 +242,9 @@
                 .orElseThrow()
                 .service();
         final long rev = cluster.stock(service).change(path);
-        cluster.log().add(Log.row("log", "change", "t", now(), "path", path, "rev", rev, "tag", Stock.tag(path)));
+        cluster.log()
+                .add(RunLog.row(
+                        "log", "change", "t", now(), "path", path, "rev", rev, "tag", StandInBackend.tag(path)));
         if (random().nextInt(3) == 0) {
             final boolean wide = random().nextInt(4) == 0;
             cluster.world().in(50, () -> purge(w, path, wide));
@@ -252,15 +254,16 @@
 
     @Override
     public void purge() {
-        final List<Place.EdgeRouting> ways = cachedRoutes();
-        final Place.EdgeRouting w = ways.get(random().nextInt(ways.size()));
+        final List<Deployment.EdgeRouting> ways = cachedRoutes();
+        final Deployment.EdgeRouting w = ways.get(random().nextInt(ways.size()));
         purge(w, w.prefix() + random().nextInt(w.objects()), random().nextInt(4) == 0);
     }
 
-    private void purge(final Place.EdgeRouting w, final String path, final boolean wide) {
-        final Purge what =
-                wide ? new Purge(null, null, null, null, Stock.tag(path)) : new Purge(null, path, null, w.host(), null);
-        client.purge(what, Log.row("path", wide ? null : path, "tag", wide ? what.tag() : null));
+    private void purge(final Deployment.EdgeRouting w, final String path, final boolean wide) {
+        final Purge what = wide
+                ? new Purge(null, null, null, null, StandInBackend.tag(path))
+                : new Purge(null, path, null, w.host(), null);
+        client.purge(what, RunLog.row("path", wide ? null : path, "tag", wide ? what.tag() : null));
     }
 
     /** One item of the order is faulty; the other must not take force either. */
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/World.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/VirtualTime.java
@@ -2,12 +2,12 @@
 
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.rowanvalve.common.Loop;
+import org.rowanvalve.common.runtime.EventLoop;
 
 /** Virtual time: one queue of events, one seed. */
-public final class World {
+public final class VirtualTime {
     private final PriorityQueue<Due> queue = new PriorityQueue<>();
-    private final Random dice;
+    private final Random random;
     private long now;
     private long seq;
     private long count;
@@ -21,8 +21,8 @@
         }
     }
 
-    public World(final long seed) {
-        dice = new Random(seed);
+    public VirtualTime(final long seed) {
+        random = new Random(seed);
     }
 
     public long now() {
@@ -30,22 +30,22 @@
     }
 
     /** A loop of this time without a machine around it. */
-    public Loop loop() {
-        return new Loop() {
+    public EventLoop loop() {
+        return new EventLoop() {
             @Override
             public long now() {
                 return now;
             }
 
             @Override
-            public void after(final long ms, final Runnable job) {
+            public void schedule(final long ms, final Runnable job) {
                 in(ms, job);
             }
         };
     }
 
     public Random dice() {
-        return dice;
+        return random;
     }
 
     /** A number never given before in this run. */
--- /dev/null
+++ b/testkit/src/test/java/org/rowanvalve/testkit/AcceptorRebuildTest.java
@@ -0,0 +1,62 @@
+package org.rowanvalve.testkit;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.sim.SimCluster;
+
+/** What is accepted while an elector's memory is being rebuilt stands on its disk afterwards. */
+class AcceptorRebuildTest {
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    void whatIsLearnedDuringARebuildIsOnTheDiskAfterIt(final long seed) {
+        final Deployment deployment = seed % 2 == 0 ? Deployment.coastline() : Deployment.kilimanjaro();
+        final SimCluster cluster = new SimCluster(deployment, seed).open();
+        cluster.crowd().factor(1e-6);
+        cluster.itemOperator().stop();
+        cluster.run(1000);
+        cluster.loseDisk("st1", 200);
+        cluster.world().in(700 + seed * 60, () -> cluster.stall("st1", 4000));
+        final String service = deployment.kin().get(0).service();
+        final List<ApiResponse> said = new ArrayList<>();
+        for (int i = 0; i < 70; i++) {
+            final ItemId id = new ItemId(ItemKind.ROUTE, "extra" + i);
+            final byte[] body = Json.write(RunLog.row(
+                            "prefix", "/extra" + i + "/", "service", service, "mode", "cached", "lifetimeMs", 500))
+                    .getBytes();
+            cluster.node("ed1")
+                    .execute(() -> cluster.node("ed1")
+                            .node()
+                            .configurationService()
+                            .putItem(id, body, 0, "w" + id.name(), said::add));
+            cluster.run(90);
+        }
+        cluster.run(9000);
+        final List<Integer> done = new ArrayList<>();
+        for (int i = 0; i < 70; i++) {
+            final int n = i;
+            if (said.stream()
+                    .anyMatch(s -> s.status() == 200
+                            && ("route/extra" + n).equals(s.body().get("item")))) {
+                done.add(n);
+            }
+        }
+        assertTrue(done.size() > 50, said.toString());
+        assertTrue(cluster.node("st1").node().acceptor().hasState());
+        assertEquals(
+                List.of(),
+                done.stream()
+                        .filter(n -> !cluster.node("st1").disk().has("e/ROUTE/extra" + n))
+                        .toList());
+    }
+}
--- a/testkit/src/test/java/org/rowanvalve/testkit/DayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DayTest.java
@@ -13,11 +13,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rowanvalve.common.Hash;
-import org.rowanvalve.control.Json;
+import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.control.json.Json;
 import org.rowanvalve.testkit.judge.Judge;
 import org.rowanvalve.testkit.judge.Verdict;
-import org.rowanvalve.testkit.sim.ScriptRunner;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.scenario.Scenario;
+import org.rowanvalve.testkit.scenario.ScenarioGenerator;
+import org.rowanvalve.testkit.sim.ScenarioRunner;
 
 /** Whole days of troubles in the simulator, from fixed seeds. */
 class DayTest {
@@ -27,11 +30,12 @@
     @ParameterizedTest
     @CsvSource({"kilimanjaro,1", "kilimanjaro,2", "kilimanjaro,3", "coastline,1", "coastline,2", "coastline,3"})
     void aDayKeepsEveryRule(final String place, final long seed) {
-        final ScriptRunner play = new ScriptRunner(DayDraw.day(Place.of(place), seed, COUNT, 3500), seed);
+        final ScenarioRunner play =
+                new ScenarioRunner(ScenarioGenerator.day(Deployment.of(place), seed, COUNT, 3500), seed);
         final Judge judge = new Judge(play.run());
         assertTrue(judge.clean(), judge.text(3));
         assertEquals(List.of(), play.missed());
-        judge.verdicts().forEach(v -> MET.merge(place + " rule " + v.rule(), v.checked(), Long::sum));
+        judge.verdicts().forEach(verdict -> MET.merge(place + " rule " + verdict.rule(), verdict.checked(), Long::sum));
         System.out.println(place + " " + seed + "\n"
                 + String.join("\n", judge.verdicts().stream().map(Verdict::line).toList()));
     }
@@ -40,7 +44,7 @@
     @AfterAll
     static void everyRuleWasMet() {
         final List<String> holes = MET.entrySet().stream()
-                .filter(e -> e.getValue() == 0)
+                .filter(entry -> entry.getValue() == 0)
                 .map(Map.Entry::getKey)
                 .toList();
         assertEquals(List.of(), holes);
@@ -49,22 +53,22 @@
     /** Every trouble is met by some day above, in both places. */
     @Test
     void theseDaysHoldEveryTrouble() {
-        for (final Place place : List.of(Place.kilimanjaro(), Place.coastline())) {
+        for (final Deployment deployment : List.of(Deployment.kilimanjaro(), Deployment.coastline())) {
             final Set<String> seen = new TreeSet<>();
             for (final long seed : List.of(1L, 2L, 3L)) {
-                DayDraw.day(place, seed, COUNT, 3500).steps().forEach(s -> seen.add(s.trouble()));
+                ScenarioGenerator.day(deployment, seed, COUNT, 3500).steps().forEach(step -> seen.add(step.trouble()));
             }
-            assertEquals(new TreeSet<>(Script.TROUBLES), seen, place.name());
+            assertEquals(new TreeSet<>(Scenario.TROUBLES), seen, deployment.name());
         }
     }
 
     private static String digest(final long seed) {
         final StringBuilder all = new StringBuilder();
         for (final Map<String, Object> row :
-                new ScriptRunner(DayDraw.day(Place.coastline(), seed, 2, 1500), seed).run()) {
-            all.append(Json.text(row)).append('\n');
+                new ScenarioRunner(ScenarioGenerator.day(Deployment.coastline(), seed, 2, 1500), seed).run()) {
+            all.append(Json.write(row)).append('\n');
         }
-        return Hash.digest(all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        return Hash.sha256Hex(all.toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
 
     @Test
--- a/testkit/src/test/java/org/rowanvalve/testkit/DiffTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DiffTest.java
@@ -8,79 +8,82 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.data.StatusReport;
-import org.rowanvalve.server.Ctl;
-import org.rowanvalve.server.Diff;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.data.node.StatusReport;
+import org.rowanvalve.server.cli.ControlCommand;
+import org.rowanvalve.server.cli.NodeDiff;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
 /** What two nodes believe, compared: lag, contradiction, and what cannot be asked. */
 class DiffTest {
-    private static Map<?, ?> tell(final SimCluster town, final String node) {
-        return Json.read(new StatusReport(town.node(node).node()).say("all"), Map.class);
+    private static Map<?, ?> tell(final SimCluster cluster, final String node) {
+        return Json.read(new StatusReport(cluster.node(node).node()).describe("all"), Map.class);
     }
 
-    private static List<Diff.Row> diff(final SimCluster town, final String a, final String b) {
-        return Diff.of(tell(town, a), tell(town, b));
+    private static List<NodeDiff.Difference> diff(final SimCluster cluster, final String a, final String b) {
+        return NodeDiff.of(tell(cluster, a), tell(cluster, b));
     }
 
     @Test
     void nodesThatAgreeDifferInNothing() {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 3).open();
-        town.crowd().factor(0.01);
-        town.itemOperator().stop();
-        town.run(5000);
-        final List<Diff.Row> rows = diff(town, "st1", "ed4").stream()
-                .filter(r -> !r.what().startsWith("item origin") && !r.what().startsWith("item tenure"))
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 3).open();
+        cluster.crowd().factor(0.01);
+        cluster.itemOperator().stop();
+        cluster.run(5000);
+        final List<NodeDiff.Difference> rows = diff(cluster, "st1", "ed4").stream()
+                .filter(row ->
+                        !row.what().startsWith("item origin") && !row.what().startsWith("item tenure"))
                 .toList();
         assertEquals(List.of(), rows);
     }
 
     @Test
     void acrossACutLinkOneSideLagsAndSaysHowOldItsFrameIs() {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 3).open();
-        town.cut(List.of("ed3", "sh4"), 20_000);
-        town.run(9000);
-        final List<Diff.Row> rows = diff(town, "st1", "ed3");
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 3).open();
+        cluster.cut(List.of("ed3", "sh4"), 20_000);
+        cluster.run(9000);
+        final List<NodeDiff.Difference> rows = diff(cluster, "st1", "ed3");
         assertTrue(
                 rows.stream()
-                        .anyMatch(r -> r.what().equals("frame age")
-                                && r.right().equals("not confirmed")
-                                && r.newer().equals("st1")),
+                        .anyMatch(row -> row.what().equals("frame age")
+                                && row.right().equals("not confirmed")
+                                && row.newer().equals("st1")),
                 rows.toString());
         assertTrue(
                 rows.stream()
-                        .anyMatch(r -> r.what().equals("plan epoch")
-                                && r.newer().equals("st1")
-                                && r.kind().equals("lag")),
+                        .anyMatch(row -> row.what().equals("plan epoch")
+                                && row.newer().equals("st1")
+                                && row.kind().equals("lag")),
                 rows.toString());
         assertTrue(
                 rows.stream()
-                        .anyMatch(r ->
-                                r.what().startsWith("plan shard") && r.kind().equals("lag")),
+                        .anyMatch(row -> row.what().startsWith("plan shard")
+                                && row.kind().equals("lag")),
                 rows.toString());
         assertTrue(
                 rows.stream()
-                        .anyMatch(r ->
-                                r.what().startsWith("member ed3") || r.what().startsWith("member sh4")),
+                        .anyMatch(row -> row.what().startsWith("member ed3")
+                                || row.what().startsWith("member sh4")),
                 rows.toString());
-        assertTrue(rows.stream().noneMatch(r -> r.kind().equals("contradiction")), rows.toString());
+        assertTrue(rows.stream().noneMatch(row -> row.kind().equals("contradiction")), rows.toString());
     }
 
     @Test
     void twoHoldersOfAShardAreAContradiction() {
         final Map<String, Object> a =
-                Log.row("node", "sh1", "frameAgeMs", 5, "planEpoch", 2, "leases", Map.of("3", "HELD 1.4"));
+                RunLog.row("node", "sh1", "frameAgeMs", 5, "planEpoch", 2, "leases", Map.of("3", "HELD 1.4"));
         final Map<String, Object> b =
-                Log.row("node", "sh2", "frameAgeMs", 5, "planEpoch", 2, "leases", Map.of("3", "HELD 1.5"));
+                RunLog.row("node", "sh2", "frameAgeMs", 5, "planEpoch", 2, "leases", Map.of("3", "HELD 1.5"));
         assertEquals(
                 List.of("lease of shard 3: HELD 1.4 | HELD 1.5  (contradiction, newer: sh2)"),
-                Diff.of(a, b).stream().map(Diff.Row::line).toList());
+                NodeDiff.of(a, b).stream().map(NodeDiff.Difference::line).toList());
     }
 
     private static String run(final int want, final String... args) throws Exception {
         final ByteArrayOutputStream err = new ByteArrayOutputStream();
-        final int rc = Ctl.run(args, new PrintStream(new ByteArrayOutputStream()), new PrintStream(err));
+        final int rc = ControlCommand.run(args, new PrintStream(new ByteArrayOutputStream()), new PrintStream(err));
         assertEquals(want, rc, err.toString());
         return err.toString().trim();
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/FoundingTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/FoundingTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
 /** A network is founded once, whatever ends while it is. */
@@ -14,14 +15,16 @@
     private static final List<String> ELECTORS = List.of("sh1", "sh2", "sh3");
 
     private static SimCluster begun(final long seed) {
-        final SimCluster town =
-                new SimCluster(seed % 2 == 0 ? Place.coastlineShields() : Place.kilimanjaroShields(), seed);
-        town.nodes().values().forEach(n -> town.world().in(town.world().dice().nextInt(300), n::start));
-        return town;
+        final SimCluster cluster =
+                new SimCluster(seed % 2 == 0 ? Deployment.coastlineShields() : Deployment.kilimanjaroShields(), seed);
+        cluster.nodes()
+                .values()
+                .forEach(node -> cluster.world().in(cluster.world().dice().nextInt(300), node::start));
+        return cluster;
     }
 
-    private static long founded(final SimCluster town) {
-        return town.log().rows().stream()
+    private static long founded(final SimCluster cluster) {
+        return cluster.log().rows().stream()
                 .filter(r -> "FOUNDED".equals(r.get("name")))
                 .count();
     }
@@ -31,17 +34,17 @@
     @ValueSource(ints = {1, 2, 3})
     void electorsThatEndDuringTheFoundingTakePartInIt(final int many) {
         for (long at = 400; at <= 2600; at += 100) {
-            final SimCluster town = begun(at / 100);
-            town.run(at);
+            final SimCluster cluster = begun(at / 100);
+            cluster.run(at);
             for (int i = 0; i < many; i++) {
-                town.kill(ELECTORS.get((int) (at / 100 + i) % 3), 300 + 200 * i);
+                cluster.kill(ELECTORS.get((int) (at / 100 + i) % 3), 300 + 200 * i);
             }
-            town.run(8000);
+            cluster.run(8000);
             for (final String e : ELECTORS) {
-                assertTrue(town.node(e).node().elector().full(), e + " of " + many + " that ended at " + at);
-                assertFalse(town.node(e).node().keeper().lapse(), e);
+                assertTrue(cluster.node(e).node().acceptor().hasState(), e + " of " + many + " that ended at " + at);
+                assertFalse(cluster.node(e).node().keyedRecords().isIncomplete(), e);
             }
-            assertTrue(town.node("ed1").node().sync().fresh());
+            assertTrue(cluster.node("ed1").node().viewSynchronizer().isFresh());
         }
     }
 
@@ -49,25 +52,25 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void whoseDiskWasLostFoundsNothing(final long seed) {
-        final SimCluster town = begun(seed);
-        town.run(6000);
-        final long before = founded(town);
-        List.of("sh1", "sh2", "sh3").forEach(e -> town.loseDisk(e, 500));
-        town.run(9000);
-        ELECTORS.forEach(e -> assertFalse(town.node(e).node().elector().full(), e));
-        assertEquals(before, founded(town));
+        final SimCluster cluster = begun(seed);
+        cluster.run(6000);
+        final long before = founded(cluster);
+        List.of("sh1", "sh2", "sh3").forEach(e -> cluster.loseDisk(e, 500));
+        cluster.run(9000);
+        ELECTORS.forEach(e -> assertFalse(cluster.node(e).node().acceptor().hasState(), e));
+        assertEquals(before, founded(cluster));
     }
 
     /** It came back without a note of the first start, as one whose disk was lost: the other two never voted, so nothing was. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void oneThatEndsBeforeItsFirstNoteStopsNoFounding(final long seed) {
-        final SimCluster town = begun(seed);
-        town.run(350);
+        final SimCluster cluster = begun(seed);
+        cluster.run(350);
         final String gone = ELECTORS.get((int) seed % 3);
-        town.loseDisk(gone, 400);
-        town.run(9000);
-        ELECTORS.forEach(e -> assertTrue(town.node(e).node().elector().full(), e + " beside " + gone));
-        assertTrue(town.node("ed1").node().sync().fresh());
+        cluster.loseDisk(gone, 400);
+        cluster.run(9000);
+        ELECTORS.forEach(e -> assertTrue(cluster.node(e).node().acceptor().hasState(), e + " beside " + gone));
+        assertTrue(cluster.node("ed1").node().viewSynchronizer().isFresh());
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/JudgeControlTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeControlTest.java
@@ -3,30 +3,31 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** The rules on operators' answers, try by try: for each a clean log and ones with a breach. */
 class JudgeControlTest {
     private static final Map<String, Object> CUT =
-            Log.row("log", "rig", "t", 1000, "what", "core-cut", "node", "sh1", "ms", 5000);
+            RunLog.row("log", "rig", "t", 1000, "what", "core-cut", "node", "sh1", "ms", 5000);
 
     private static Map<String, Object> attempt(
             final String kind, final long t, final String node, final long order, final long status) {
-        return Log.row(
+        return RunLog.row(
                 "log", "try", "kind", kind, "t", t, "end", t + 10, "node", node, "order", order, "status", status);
     }
 
     private static Map<String, Object> order(final long t, final long id, final String... marks) {
-        return Log.row("log", "order", "t", t, "id", id, "items", List.of(marks));
+        return RunLog.row("log", "order", "t", t, "id", id, "items", List.of(marks));
     }
 
     private static Map<String, Object> read(
             final long t, final String node, final boolean last, final boolean whole, final Map<String, Object> items) {
-        return Log.row(
+        return RunLog.row(
                 "log", "read", "t", t, "end", t + 10, "node", node, "last", last, "whole", whole, "items", items);
     }
 
     private static Map<String, Object> put(final long t, final long version, final String note) {
-        return Log.row(
+        return RunLog.row(
                 "log", "op", "what", "put", "t", t, "end", t + 5, "item", "ROUTE/r", "version", version, "note", note,
                 "gone", false, "status", 200);
     }
@@ -48,7 +49,7 @@
                         List.of(attempt("invalid", 1500, "sh1", 2, 422)),
                         List.of(attempt("purge", 5900, "sh1", 2, 200)),
                         List.of(read(1600, "sh1", false, true, Map.of())),
-                        List.of(Log.row(
+                        List.of(RunLog.row(
                                 "log", "op", "what", "leave", "t", 1500, "end", 1600, "at", "sh1", "status", 200))));
     }
 
@@ -111,7 +112,7 @@
                         attempt("order", 20_000, "sh2", 3, 200),
                         read(30_000, "sh1", true, true, Map.of("ROUTE/r", "9 c")),
                         read(1500, "sh1", false, false, Map.of()),
-                        Log.row("log", "cost", "t", 29_000)),
+                        RunLog.row("log", "cost", "t", 29_000)),
                 List.of(
                         List.of(order(20_000, 2, "ROUTE/r|8|b")),
                         List.of(order(1500, 2, "ROUTE/r|8|b"), attempt("order", 14_000, "sh1", 2, 200)),
@@ -119,15 +120,15 @@
     }
 
     private static Map<String, Object> rig(final long t, final String what, final String node) {
-        return Log.row("log", "rig", "t", t, "what", what, "node", node, "ms", 3000);
+        return RunLog.row("log", "rig", "t", t, "what", what, "node", node, "ms", 3000);
     }
 
     private static Map<String, Object> started(final long t, final String node) {
-        return Log.row("log", "node", "t", t, "name", "STARTED", "node", node, "boot", "b" + t);
+        return RunLog.row("log", "node", "t", t, "name", "STARTED", "node", node, "boot", "b" + t);
     }
 
     private static Map<String, Object> request(final long t, final String fate) {
-        return Log.row("log", "req", "t", t, "end", t + 10, "id", t, "node", "ed1", "path", "/s/1", "fate", fate);
+        return RunLog.row("log", "req", "t", t, "end", t + 10, "id", t, "node", "ed1", "path", "/s/1", "fate", fate);
     }
 
     /** A machine that left for good is not up: once all others are down, what the earlier return brought is not asked. */
--- a/testkit/src/test/java/org/rowanvalve/testkit/JudgeShieldsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeShieldsTest.java
@@ -10,11 +10,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** The rules for places whose shields vote: for each a clean log and ones with a breach. */
 class JudgeShieldsTest {
     private static final Map<String, Object> PLACE =
-            Log.row("log", "place", "t", 0, "electors", List.of("sh1", "sh2", "sh3"));
+            RunLog.row("log", "place", "t", 0, "electors", List.of("sh1", "sh2", "sh3"));
 
     static void rule(final int n, final List<Map<String, Object>> clean, final List<List<Map<String, Object>>> worse) {
         final List<Map<String, Object>> all = new ArrayList<>(List.of(PLACE));
@@ -32,7 +33,7 @@
 
     private static Map<String, Object> op(
             final String what, final long t, final long ver, final String note, final Object... more) {
-        final Map<String, Object> row = Log.row(
+        final Map<String, Object> row = RunLog.row(
                 "log",
                 "op",
                 "t",
@@ -51,12 +52,12 @@
                 note == null,
                 "status",
                 what.equals("sent") ? 0 : 200);
-        row.putAll(Log.row(more));
+        row.putAll(RunLog.row(more));
         return row;
     }
 
     private static Map<String, Object> read(final long t, final String node, final String said) {
-        return Log.row(
+        return RunLog.row(
                 "log",
                 "read",
                 "t",
@@ -71,13 +72,13 @@
 
     private static Map<String, Object> org(
             final long t, final String what, final String id, final String origin, final String from) {
-        return Log.row(
+        return RunLog.row(
                 "log", "org", "t", t, "origin", origin, "service", "s", "want", "s", "stamp", "b1", "what", what,
                 "request", id, "path", "/s/1", "from", from);
     }
 
     private static Map<String, Object> req(final long t, final String id, final String fate, final long status) {
-        return Log.row(
+        return RunLog.row(
                 "log", "req", "t", t, "end", t + 10, "node", "ed1", "path", "/s/1", "status", status, "fate", fate,
                 "attempt", id);
     }
@@ -99,7 +100,7 @@
                         List.of(read(901, "sh2", "8 late")),
                         List.of(read(901, "sh2", "9 c")),
                         List.of(read(901, "sh2", null)),
-                        List.of(Log.row(
+                        List.of(RunLog.row(
                                 "log",
                                 "read",
                                 "t",
@@ -151,7 +152,7 @@
 
     @Test
     void rule16TheCeilingIsOneForAllOrigins() {
-        final Map<String, Object> rate = Log.row(
+        final Map<String, Object> rate = RunLog.row(
                 "log",
                 "op",
                 "t",
@@ -176,7 +177,7 @@
 
     @Test
     void rule17ArrivalsBeyondTheFirstOfEachTry() {
-        final List<Map<String, Object>> some = new ArrayList<>(List.of(Log.row(
+        final List<Map<String, Object>> some = new ArrayList<>(List.of(RunLog.row(
                 "log",
                 "op",
                 "t",
@@ -201,7 +202,7 @@
 
     @Test
     void rule22ATryReachesMoreOriginsThanItsRouteAllows() {
-        final List<Map<String, Object>> some = new ArrayList<>(List.of(Log.row(
+        final List<Map<String, Object>> some = new ArrayList<>(List.of(RunLog.row(
                 "log",
                 "op",
                 "t",
@@ -228,7 +229,7 @@
         some.add(org(2020, "get", "b-1", "s2", "sh2"));
         final Map<String, Object> third = org(2030, "get", "b-1", "s3", "sh3");
         rule(22, some, List.of(List.of(third)));
-        some.add(Log.row("log", "rig", "t", 2015, "what", "origin-crash", "node", "s2", "ms", 3000));
+        some.add(RunLog.row("log", "rig", "t", 2015, "what", "origin-crash", "node", "s2", "ms", 3000));
         some.add(third);
         rule(22, some, List.of());
     }
@@ -236,29 +237,29 @@
     /** A frame that a majority could not confirm excuses; a settled core and a healthy node do not. */
     @Test
     void rule8ALeavingOriginIsExcusedOnlyWithoutASettledCore() {
-        final Map<String, Object> leave = Log.row(
+        final Map<String, Object> leave = RunLog.row(
                 "log", "op", "t", 100, "end", 110, "what", "leave", "origin", "s1", "service", "s", "stamp", "b1",
                 "status", 200);
         final Map<String, Object> late = org(3000, "get", "a-1", "s1", "sh4");
         rule(8, List.of(leave, org(2000, "get", "a-1", "s1", "sh4")), List.of(List.of(late)));
         rule(
                 8,
-                List.of(leave, late, Log.row("log", "rig", "t", 900, "what", "cut", "node", "sh4", "ms", 3000)),
+                List.of(leave, late, RunLog.row("log", "rig", "t", 900, "what", "cut", "node", "sh4", "ms", 3000)),
                 List.of());
         rule(
                 8,
                 List.of(
                         leave,
                         late,
-                        Log.row("log", "rig", "t", 900, "what", "cut", "node", "sh1", "ms", 3000),
-                        Log.row("log", "rig", "t", 900, "what", "freeze", "node", "sh2", "ms", 3000)),
+                        RunLog.row("log", "rig", "t", 900, "what", "cut", "node", "sh1", "ms", 3000),
+                        RunLog.row("log", "rig", "t", 900, "what", "freeze", "node", "sh2", "ms", 3000)),
                 List.of());
         rule(
                 8,
                 List.of(
                         leave,
                         org(2000, "get", "a-1", "s1", "sh4"),
-                        Log.row("log", "rig", "t", 900, "what", "cut", "node", "sh1", "ms", 3000)),
+                        RunLog.row("log", "rig", "t", 900, "what", "cut", "node", "sh1", "ms", 3000)),
                 List.of(List.of(late)));
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/JudgeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeTest.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.log.RunLog;
 
 /** For each rule a clean log and one with a breach. */
 class JudgeTest {
@@ -27,19 +28,19 @@
     }
 
     private static Map<String, Object> op(final String what, final long t, final long end, final Object... more) {
-        final Map<String, Object> row = Log.row("log", "op", "t", t, "end", end, "what", what, "status", 200);
-        row.putAll(Log.row(more));
+        final Map<String, Object> row = RunLog.row("log", "op", "t", t, "end", end, "what", what, "status", 200);
+        row.putAll(RunLog.row(more));
         return row;
     }
 
     private static Map<String, Object> org(final long t, final String what, final String id, final String key) {
-        return Log.row(
+        return RunLog.row(
                 "log", "org", "t", t, "origin", "s1", "service", "s", "want", "s", "stamp", "b1", "what", what,
                 "request", id, "path", "/s/1", "key", key);
     }
 
     private static Map<String, Object> req(final long t, final String fate, final Object... more) {
-        final Map<String, Object> row = Log.row(
+        final Map<String, Object> row = RunLog.row(
                 "log",
                 "req",
                 "t",
@@ -70,13 +71,13 @@
                 "/s/1",
                 "rev",
                 1);
-        row.putAll(Log.row(more));
+        row.putAll(RunLog.row(more));
         return row;
     }
 
     private static Map<String, Object> node(final long t, final String node, final String name, final Object... more) {
-        final Map<String, Object> row = Log.row("log", "node", "t", t, "node", node, "boot", "b", "name", name);
-        row.putAll(Log.row(more));
+        final Map<String, Object> row = RunLog.row("log", "node", "t", t, "node", node, "boot", "b", "name", name);
+        row.putAll(RunLog.row(more));
         return row;
     }
 
@@ -134,8 +135,8 @@
         rule(
                 5,
                 clean,
-                Log.row("log", "rig", "t", 1000, "what", "kill", "node", "ed1", "ms", 10),
-                Log.row("log", "rig", "t", 1010, "what", "start", "node", "ed1", "ms", 0),
+                RunLog.row("log", "rig", "t", 1000, "what", "kill", "node", "ed1", "ms", 10),
+                RunLog.row("log", "rig", "t", 1010, "what", "start", "node", "ed1", "ms", 0),
                 node(1010, "ed1", "STARTED"),
                 node(1500, "ed1", "FRAME_FRESH"));
     }
@@ -145,7 +146,7 @@
         rule(
                 6,
                 List.of(
-                        Log.row("log", "change", "t", 50, "path", "/s/1", "rev", 2),
+                        RunLog.row("log", "change", "t", 50, "path", "/s/1", "rev", 2),
                         op("purge", 100, 110, "path", "/s/1"),
                         req(2000, "done", "rev", 1),
                         req(2200, "done", "rev", 2)),
@@ -156,7 +157,7 @@
     void rule7ACopyBeyondItsLifetime() {
         rule(
                 7,
-                List.of(Log.row("log", "change", "t", 50, "path", "/s/1", "rev", 2), req(3050, "done", "rev", 1)),
+                List.of(RunLog.row("log", "change", "t", 50, "path", "/s/1", "rev", 2), req(3050, "done", "rev", 1)),
                 req(3051, "done", "rev", 1));
     }
 
@@ -191,13 +192,13 @@
     @Test
     void rule11LostOrUnserved() {
         final Map<String, Object> end =
-                Log.row("log", "end", "t", 90_000, "node", "st1", "fresh", true, "items", Map.of("SERVICE/s", 1));
+                RunLog.row("log", "end", "t", 90_000, "node", "st1", "fresh", true, "items", Map.of("SERVICE/s", 1));
         rule(
                 11,
                 List.of(PUT, end),
-                Log.row("log", "end", "t", 90_000, "node", "st2", "fresh", true, "items", Map.of()));
+                RunLog.row("log", "end", "t", 90_000, "node", "st2", "fresh", true, "items", Map.of()));
         final List<Map<String, Object>> back = List.of(
-                Log.row("log", "rig", "t", 1000, "what", "returned", "node", "", "ms", 0),
+                RunLog.row("log", "rig", "t", 1000, "what", "returned", "node", "", "ms", 0),
                 req(16_100, "done"),
                 req(16_200, "refused"),
                 req(16_300, "refused"),
@@ -206,7 +207,7 @@
     }
 
     private static Map<String, Object> rig(final long t, final String what, final String node) {
-        return Log.row("log", "rig", "t", t, "what", what, "node", node, "ms", 3000);
+        return RunLog.row("log", "rig", "t", t, "what", what, "node", node, "ms", 3000);
     }
 
     /** What a return has to bring ends when no machine is up any more, and not before; the next return has to bring it anew. */
--- a/testkit/src/test/java/org/rowanvalve/testkit/KeyedDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/KeyedDayTest.java
@@ -9,48 +9,50 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.Code;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 import org.rowanvalve.testkit.sim.SimNode;
 
 /** Keyed requests while keepers lose their disks one after the other, answers are late, and the voting set changes. */
 class KeyedDayTest {
-    private static Place place(final long seed) {
-        return seed % 2 == 0 ? Place.coastlineShields() : Place.kilimanjaroShields();
+    private static Deployment place(final long seed) {
+        return seed % 2 == 0 ? Deployment.coastlineShields() : Deployment.kilimanjaroShields();
     }
 
-    private static Stream<Map<String, Object>> keyed(final SimCluster town, final long from, final long to) {
-        return town.log().rows().stream()
+    private static Stream<Map<String, Object>> keyed(final SimCluster cluster, final long from, final long to) {
+        return cluster.log().rows().stream()
                 .filter(r -> "req".equals(r.get("log")) && r.get("key") != null)
                 .filter(r -> ((Number) r.get("t")).longValue() >= from && ((Number) r.get("t")).longValue() < to);
     }
 
-    private static double served(final SimCluster town, final long from, final long to) {
-        final List<Map<String, Object>> all = keyed(town, from, to).toList();
+    private static double served(final SimCluster cluster, final long from, final long to) {
+        final List<Map<String, Object>> all = keyed(cluster, from, to).toList();
         assertTrue(all.size() > 20, "keyed requests " + all.size());
         return (double) all.stream().filter(r -> "done".equals(r.get("fate"))).count() / all.size();
     }
 
-    private static long keepBytes(final SimCluster town) {
-        return town.net().kinds().entrySet().stream()
-                .filter(e -> List.of("KeepRead", "Kept", "KeepSums", "KeptSums", "KeepCells", "KeptCells")
-                        .contains(e.getKey()))
+    private static long keepBytes(final SimCluster cluster) {
+        return cluster.net().kinds().entrySet().stream()
+                .filter(entry -> List.of("KeepRead", "Kept", "KeepSums", "KeptSums", "KeepCells", "KeptCells")
+                        .contains(entry.getKey()))
                 .mapToLong(Map.Entry::getValue)
                 .sum();
     }
 
-    private static void whole(final SimCluster town) {
-        town.nodes().values().stream()
-                .filter(n -> n.alive()
-                        && n.node().elector() != null
-                        && n.node().elector().votes())
-                .forEach(n -> assertFalse(n.node().keeper().lapse(), n.id() + " has its records"));
+    private static void whole(final SimCluster cluster) {
+        cluster.nodes().values().stream()
+                .filter(node -> node.alive()
+                        && node.node().acceptor() != null
+                        && node.node().acceptor().isVoting())
+                .forEach(
+                        node -> assertFalse(node.node().keyedRecords().isIncomplete(), node.id() + " has its records"));
     }
 
-    private static void clean(final SimCluster town) {
-        final Judge judge = new Judge(town.close());
+    private static void clean(final SimCluster cluster) {
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
     }
 
@@ -58,112 +60,117 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void twoDisksOneAfterTheOtherThenAllPower(final long seed) {
-        final SimCluster town = new SimCluster(place(seed), seed).open();
-        town.run(6000);
-        town.loseDisk("sh1", 1500);
-        town.run(7000);
-        whole(town);
-        town.loseDisk("sh2", 1500);
-        town.run(7000);
-        whole(town);
-        final long before = keepBytes(town);
-        final long at = town.world().now();
-        town.nodes().keySet().forEach(n -> town.power(n, 1000));
-        town.world().in(1500, () -> town.trouble("returned", "", 0));
-        town.run(20_000);
-        whole(town);
-        assertTrue(served(town, at + 12_000, at + 19_000) > 0.95, "served " + served(town, at + 12_000, at + 19_000));
-        assertTrue(keepBytes(town) - before < 3_000_000, "bytes of readings " + (keepBytes(town) - before));
-        clean(town);
+        final SimCluster cluster = new SimCluster(place(seed), seed).open();
+        cluster.run(6000);
+        cluster.loseDisk("sh1", 1500);
+        cluster.run(7000);
+        whole(cluster);
+        cluster.loseDisk("sh2", 1500);
+        cluster.run(7000);
+        whole(cluster);
+        final long before = keepBytes(cluster);
+        final long at = cluster.world().now();
+        cluster.nodes().keySet().forEach(n -> cluster.power(n, 1000));
+        cluster.world().in(1500, () -> cluster.trouble("returned", "", 0));
+        cluster.run(20_000);
+        whole(cluster);
+        assertTrue(
+                served(cluster, at + 12_000, at + 19_000) > 0.95,
+                "served " + served(cluster, at + 12_000, at + 19_000));
+        assertTrue(keepBytes(cluster) - before < 3_000_000, "bytes of readings " + (keepBytes(cluster) - before));
+        clean(cluster);
     }
 
     /** The second disk goes with the power of all: one keeper has forgotten, and the others are read once a shard. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aDiskAndAllPowerAtOnceOverSlowWays(final long seed) {
-        final SimCluster town = new SimCluster(place(seed), seed).open();
-        town.run(5000);
-        town.loseDisk("sh3", 1500);
-        town.run(5000);
-        final long before = keepBytes(town);
-        final long at = town.world().now();
-        town.nodes().keySet().forEach(n -> town.power(n, 1000));
-        town.node("sh2").disk().lose();
-        town.world().in(1500, () -> town.trouble("returned", "", 0));
-        town.run(1200);
-        town.trouble("slow", "", 9000);
-        town.net().slow(700);
-        town.run(9000);
-        town.net().slow(0);
-        town.run(9000);
-        whole(town);
-        assertTrue(served(town, at + 13_000, at + 18_000) > 0.95, "served " + served(town, at + 13_000, at + 18_000));
-        assertTrue(keepBytes(town) - before < 3_000_000, "bytes of readings " + (keepBytes(town) - before));
-        final long told = town.log().rows().stream()
-                .filter(r -> Code.KEEP_SHORT.name().equals(r.get("name")) && r.get("read") != null)
+        final SimCluster cluster = new SimCluster(place(seed), seed).open();
+        cluster.run(5000);
+        cluster.loseDisk("sh3", 1500);
+        cluster.run(5000);
+        final long before = keepBytes(cluster);
+        final long at = cluster.world().now();
+        cluster.nodes().keySet().forEach(n -> cluster.power(n, 1000));
+        cluster.node("sh2").disk().lose();
+        cluster.world().in(1500, () -> cluster.trouble("returned", "", 0));
+        cluster.run(1200);
+        cluster.trouble("slow", "", 9000);
+        cluster.net().slow(700);
+        cluster.run(9000);
+        cluster.net().slow(0);
+        cluster.run(9000);
+        whole(cluster);
+        assertTrue(
+                served(cluster, at + 13_000, at + 18_000) > 0.95,
+                "served " + served(cluster, at + 13_000, at + 18_000));
+        assertTrue(keepBytes(cluster) - before < 3_000_000, "bytes of readings " + (keepBytes(cluster) - before));
+        final long told = cluster.log().rows().stream()
+                .filter(r -> EventCode.KEEP_SHORT.name().equals(r.get("name")) && r.get("read") != null)
                 .filter(r -> ((Number) r.get("t")).longValue() > at)
                 .count();
         assertTrue(told <= 4L * 32, "each holder tells of each shard once: " + told);
-        clean(town);
+        clean(cluster);
     }
 
     /** Ways that are cut again and again while a keeper without memory copies the others' records. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aCopyGoesOnThroughCuts(final long seed) {
-        final SimCluster town = new SimCluster(place(seed), seed).open();
-        town.run(8000);
-        town.loseDisk("sh1", 1200);
+        final SimCluster cluster = new SimCluster(place(seed), seed).open();
+        cluster.run(8000);
+        cluster.loseDisk("sh1", 1200);
         for (int i = 0; i < 8; i++) {
             final String other = i % 2 == 0 ? "sh2" : "sh3";
-            town.world().in(1300 + i * 500L, () -> {
-                town.net().cut("sh1", other);
-                town.world().in(400, () -> town.net().heal("sh1", other));
+            cluster.world().in(1300 + i * 500L, () -> {
+                cluster.net().cut("sh1", other);
+                cluster.world().in(400, () -> cluster.net().heal("sh1", other));
             });
         }
-        town.run(9000);
-        whole(town);
-        clean(town);
+        cluster.run(9000);
+        whole(cluster);
+        clean(cluster);
     }
 
     /** A voter is lost for good, its place goes to a standby, then a second disk is lost: records stand all along. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void recordsAreHandedOverToTheNextSet(final long seed) {
-        final SimCluster town = new SimCluster(place(seed), seed).open();
-        town.run(5000);
-        final long at = town.world().now();
-        town.power("sh2", 0);
-        town.run(9000);
-        final List<String> voters = town.node("ed1").node().electorate().voters().stream()
+        final SimCluster cluster = new SimCluster(place(seed), seed).open();
+        cluster.run(5000);
+        final long at = cluster.world().now();
+        cluster.power("sh2", 0);
+        cluster.run(9000);
+        final List<String> voters = cluster.node("ed1").node().votingConfiguration().voters().stream()
                 .map(NodeId::text)
                 .toList();
         assertFalse(voters.contains("sh2"), "replaced " + voters);
-        whole(town);
-        final long most = town.nodes().values().stream()
-                .filter(n -> voters.contains(n.id().text()))
-                .mapToLong(n -> n.node().keeper().size())
+        whole(cluster);
+        final long most = cluster.nodes().values().stream()
+                .filter(node -> voters.contains(node.id().text()))
+                .mapToLong(node -> node.node().keyedRecords().size())
                 .max()
                 .orElse(0);
-        final SimNode young = town.nodes().values().stream()
-                .filter(n ->
-                        voters.contains(n.id().text()) && !List.of("sh1", "sh3").contains(n.id().text()))
+        final SimNode young = cluster.nodes().values().stream()
+                .filter(node -> voters.contains(node.id().text())
+                        && !List.of("sh1", "sh3").contains(node.id().text()))
                 .findFirst()
                 .orElseThrow();
         assertTrue(
-                young.node().keeper().size() > most * 0.95,
-                young.node().keeper().size() + " of " + most);
-        town.loseDisk("sh1", 1500);
-        town.run(9000);
-        assertTrue(served(town, at + 12_000, at + 17_000) > 0.9, "served " + served(town, at + 12_000, at + 17_000));
+                young.node().keyedRecords().size() > most * 0.95,
+                young.node().keyedRecords().size() + " of " + most);
+        cluster.loseDisk("sh1", 1500);
+        cluster.run(9000);
+        assertTrue(
+                served(cluster, at + 12_000, at + 17_000) > 0.9, "served " + served(cluster, at + 12_000, at + 17_000));
         assertEquals(
                 0,
-                town.nodes().values().stream()
-                        .filter(n -> n.alive()
-                                && n.node().keeper() != null
-                                && n.node().keeper().lapse()
-                                && n.node().elector().votes())
+                cluster.nodes().values().stream()
+                        .filter(node -> node.alive()
+                                && node.node().keyedRecords() != null
+                                && node.node().keyedRecords().isIncomplete()
+                                && node.node().acceptor().isVoting())
                         .count());
-        clean(town);
+        clean(cluster);
     }
 }
--- /dev/null
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
@@ -0,0 +1,338 @@
+package org.rowanvalve.testkit;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.rowanvalve.common.event.EventCode;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.KeyedRecord;
+import org.rowanvalve.common.message.LeaseGrantRequest;
+import org.rowanvalve.common.message.LeaseRenewRequest;
+import org.rowanvalve.common.message.LeaseRenewResponse;
+import org.rowanvalve.common.message.LeaseRevokeRequest;
+import org.rowanvalve.common.message.LeaseRevokeResponse;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.RecordReadRequest;
+import org.rowanvalve.common.message.RecordReadResponse;
+import org.rowanvalve.common.message.RecordWriteRequest;
+import org.rowanvalve.common.message.RecordWriteResponse;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.message.ShardLease;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.LeaseTimings;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.election.Leadership;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.lease.LeaseHolder;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.testkit.sim.VirtualTime;
+
+/** The holder's side of the lease rules, on virtual time with an authority played by hand. */
+class LeaseHolderTest {
+    private static final NodeId BOSS = NodeId.of("st1");
+    private final VirtualTime time = new VirtualTime(1);
+    private final EventLoop loop = time.loop();
+    private final List<Consumer<Reply>> renewals = new ArrayList<>();
+    private final List<Long> sent = new ArrayList<>();
+    private final List<String> stops = new ArrayList<>();
+    private final EventJournal journal = new EventJournal(loop, 500);
+    private LeaseHolder leases;
+    private long stopTakes;
+
+    @BeforeEach
+    void begin() {
+        final ItemStore items = new ItemStore(loop, journal);
+        final Transport transport = (to, msg, wait, then) -> {
+            if (msg instanceof LeaseRenewRequest) {
+                final boolean[] over = {false};
+                final Consumer<Reply> once = reply -> {
+                    if (!over[0]) {
+                        over[0] = true;
+                        then.accept(reply);
+                    }
+                };
+                renewals.add(once);
+                sent.add(time.now());
+                time.in(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
+            }
+        };
+        leases = new LeaseHolder(
+                loop, transport, items, LeaseTimings.DEFAULT, journal, () -> true, List::of, (shard, grace, done) -> {
+                    stops.add(shard + "@" + time.now());
+                    time.in(stopTakes, () -> done.accept(true));
+                });
+        leases.start();
+        items.merge(new ChosenItem(
+                new Ballot(1, "x"),
+                Item.none(ItemId.LEADERSHIP)
+                        .successor(Json.write(new Leadership("st1", "b", 1, 1, false, 0, 0, 0)), "t")));
+        time.run(100);
+        leases.onGrant(
+                BOSS,
+                new LeaseGrantRequest(1, 1, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED"))),
+                m -> {});
+    }
+
+    private void answer(final int n) {
+        renewals.get(n)
+                .accept(Reply.of(new LeaseRenewResponse(
+                        1, true, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED")), List.of())));
+    }
+
+    @Test
+    void aNewGrantIsUncertainUntilItsRenewIsAnswered() {
+        assertEquals(1, renewals.size(), "the grant makes the holder renew at once");
+        assertFalse(leases.mayFill(3));
+        assertEquals(LeaseHolder.State.UNCERTAIN, leases.leases().get(3).state());
+        answer(0);
+        assertTrue(leases.mayFill(3));
+    }
+
+    @Test
+    void validityCountsFromTheSendTimeOfTheAnsweredRenewalMinusM() {
+        time.run(100 + 400);
+        answer(0);
+        final long from = sent.get(0);
+        time.run(from + 1999);
+        assertTrue(leases.leases().get(3).state() != LeaseHolder.State.EXPIRED);
+        time.run(from + 2050);
+        assertEquals(LeaseHolder.State.EXPIRED, leases.leases().get(3).state());
+        assertEquals(1, stops.size());
+    }
+
+    @Test
+    void anUnansweredRenewalMakesItUncertainAndNoFillStarts() {
+        answer(0);
+        time.run(1100);
+        assertEquals(2, renewals.size());
+        assertTrue(leases.mayFill(3));
+        time.run(1900);
+        assertEquals(LeaseHolder.State.UNCERTAIN, leases.leases().get(3).state());
+        assertFalse(leases.mayFill(3));
+        assertTrue(leases.mayServe(3), "what is cached is still served");
+        answer(renewals.size() - 1);
+        assertTrue(leases.mayFill(3));
+    }
+
+    @Test
+    void anAnswerThatComesAfterItsOwnValidityGivesNothing() {
+        time.run(100 + 450);
+        final int first = renewals.size();
+        time.run(2300);
+        assertTrue(first >= 1);
+        answer(0);
+        assertFalse(leases.mayFill(3));
+    }
+
+    @Test
+    void aLowerTokenIsRejectedAndARevokedOneIsNotTakenUpAgain() {
+        answer(0);
+        leases.onGrant(
+                BOSS,
+                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 2), "GRANTED"))),
+                m -> {});
+        assertFalse(leases.mayFill(3), "a higher token is a new grant");
+        leases.onGrant(
+                BOSS,
+                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED"))),
+                m -> {});
+        assertEquals(new FencingToken(1, 2), leases.token(3));
+        assertTrue(journal.recent().stream().anyMatch(entry -> entry.event().code() == EventCode.GRANT_REJECTED));
+        leases.onRevoke(
+                BOSS,
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 2), "REVOKED"))),
+                m -> {});
+        time.run(time.now() + 10);
+        leases.onGrant(
+                BOSS,
+                new LeaseGrantRequest(1, 3, List.of(new ShardLease(3, new FencingToken(1, 2), "GRANTED"))),
+                m -> {});
+        assertEquals(LeaseHolder.State.REVOKED, leases.leases().get(3).state());
+    }
+
+    /** The right is looked at when the request leaves, not when it came. */
+    @Test
+    void aSendThatWaitedForItsPaceDoesNotLeaveWithoutTheRight() {
+        answer(0);
+        final ItemStore items = new ItemStore(loop, journal);
+        final org.rowanvalve.control.config.ConfigurationView configuration =
+                new org.rowanvalve.control.config.ConfigurationView(items);
+        items.merge(new ChosenItem(
+                new Ballot(1, "x"),
+                Item.none(new ItemId(org.rowanvalve.common.model.ItemKind.SERVICE, "s"))
+                        .successor("{\"kind\":\"content\",\"rate\":4,\"bodyLimit\":9,\"cutoffMs\":2000}", "t")));
+        items.merge(new ChosenItem(
+                new Ballot(1, "x"),
+                Item.none(new ItemId(org.rowanvalve.common.model.ItemKind.ORIGIN, "s1"))
+                        .successor(
+                                Json.write(new org.rowanvalve.control.config.Origin(
+                                        "s", "h", 1, "b", "content", 0, 60_000, false, 1)),
+                                "t")));
+        final List<String> sent = new ArrayList<>();
+        final org.rowanvalve.data.settings.NodeSettings settings = org.rowanvalve.data.settings.NodeSettings.builderFor(
+                        new org.rowanvalve.common.model.Member(
+                                NodeId.of("sh1"),
+                                org.rowanvalve.common.model.Role.SHIELD,
+                                "c",
+                                "127.0.0.1",
+                                1,
+                                "b",
+                                org.rowanvalve.common.model.NodeStatus.READY,
+                                "t"))
+                .build();
+        final org.rowanvalve.data.origin.OriginDispatcher dispatcher = new org.rowanvalve.data.origin.OriginDispatcher(
+                settings,
+                loop,
+                (to, msg, wait, then) -> {},
+                (to, what, gate, then) -> {
+                    sent.add(what.path());
+                    return () -> {};
+                },
+                configuration,
+                leases,
+                new org.rowanvalve.data.origin.OriginDispatcher.Surroundings(
+                        () -> true, () -> false, List::of, () -> 1),
+                journal);
+        final List<org.rowanvalve.data.origin.OriginDispatcher.Completion> ends = new ArrayList<>();
+        for (final String path : List.of("/1", "/2")) {
+            dispatcher.send(
+                    new org.rowanvalve.data.origin.OriginRequest(
+                            3,
+                            new org.rowanvalve.data.origin.OriginTransport.OutboundRequest(
+                                    "s", "GET", path, "", null, null, "", 0),
+                            false,
+                            time.now() + 2000),
+                    ends::add);
+        }
+        time.run(time.now() + 260);
+        assertEquals(List.of("/1"), sent);
+        leases.onRevoke(
+                BOSS,
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), "REVOKED"))),
+                m -> {});
+        time.run(time.now() + 1000);
+        assertEquals(List.of("/1"), sent);
+        assertEquals("no held right to send", ends.get(0).response().reason());
+        assertFalse(ends.get(0).mayHaveRun());
+    }
+
+    private org.rowanvalve.data.keyed.KeyedRequests once(final int writers, final List<KeyedRecord> known) {
+        final List<NodeId> keepers = List.of(BOSS, NodeId.of("st2"), NodeId.of("sh1"));
+        final Transport transport = (to, msg, wait, then) -> time.in(1, () -> {
+            if (msg instanceof RecordReadRequest r) {
+                then.accept(Reply.of(new RecordReadResponse(true, false, r.token(), known, 7, null)));
+            } else if (msg instanceof RecordWriteRequest w) {
+                final boolean now = w.era() == 7;
+                then.accept(
+                        keepers.indexOf(to) < writers
+                                ? Reply.of(new RecordWriteResponse(now, false, !now))
+                                : Reply.failed(Reply.Failure.NO_RESPONSE));
+            }
+        });
+        final org.rowanvalve.control.voting.Quorum quorum =
+                new org.rowanvalve.control.voting.Quorum(keepers, java.util.Set.of(BOSS, keepers.get(1)));
+        return new org.rowanvalve.data.keyed.KeyedRequests(
+                org.rowanvalve.control.voting.VotingConfiguration.of(quorum),
+                loop,
+                transport,
+                leases,
+                journal,
+                new org.rowanvalve.control.voting.StoreHealth(quorum, loop, journal),
+                "b",
+                new org.rowanvalve.control.record.RecordRetention(60_000, () -> 0));
+    }
+
+    private List<String> keyed(final int writers, final List<KeyedRecord> known, final int times) {
+        answer(0);
+        final org.rowanvalve.data.keyed.KeyedRequests once = once(writers, known);
+        final List<String> seen = new ArrayList<>();
+        for (int i = 0; i < times; i++) {
+            once.handle(
+                    3,
+                    "k",
+                    "d",
+                    1000,
+                    then -> {
+                        seen.add("sent");
+                        then.accept(new org.rowanvalve.data.origin.OriginDispatcher.Completion(
+                                org.rowanvalve.data.origin.OriginTransport.OriginResponse.without(
+                                        org.rowanvalve.data.origin.OriginTransport.ExchangeResult.LOST, "lost"),
+                                true,
+                                0,
+                                0));
+                    },
+                    f -> seen.add(f.fate()));
+            time.run(time.now() + 100);
+        }
+        return seen;
+    }
+
+    @Test
+    void nothingIsSentUnlessTheIntentStandsAtAMajority() {
+        assertEquals(List.of("refused"), keyed(1, List.of(), 1));
+    }
+
+    @Test
+    void aLostAnswerIsUnknownAndTheKeyIsNotSentAgain() {
+        assertEquals(List.of("sent", "unknown", "unknown"), keyed(2, List.of(), 2));
+    }
+
+    @Test
+    void anIntentOfAnEarlierHolderIsUnknownAndNotSent() {
+        assertEquals(
+                List.of("unknown"),
+                keyed(3, List.of(new KeyedRecord("k", 3, new FencingToken(1, 0), "d", 1, false, null)), 1));
+    }
+
+    @Test
+    void fourHoldersSharesAddUpToTheRateInEveryWindow() {
+        final List<Long> sent = new ArrayList<>();
+        final org.rowanvalve.data.limit.RateLimiter[] all = {
+            new org.rowanvalve.data.limit.RateLimiter(),
+            new org.rowanvalve.data.limit.RateLimiter(),
+            new org.rowanvalve.data.limit.RateLimiter(),
+            new org.rowanvalve.data.limit.RateLimiter()
+        };
+        for (long t = 0; t < 20_000; t += 5) {
+            for (final org.rowanvalve.data.limit.RateLimiter p : all) {
+                final java.util.OptionalLong rest = p.take("o", 40, 0.25, 1, t, 0);
+                if (rest.isPresent()) {
+                    sent.add(t);
+                }
+            }
+        }
+        for (final long end : sent) {
+            assertTrue(sent.stream().filter(t -> t > end - 5000 && t <= end).count() <= 220, "window up to " + end);
+        }
+        assertTrue(sent.size() > 700, "and the rate is used: " + sent.size());
+    }
+
+    @Test
+    void aRevokeIsAnsweredOnlyOnceTheStopIsDone() {
+        answer(0);
+        stopTakes = 300;
+        final List<Message> back = new ArrayList<>();
+        final long from = time.now();
+        leases.onRevoke(
+                BOSS,
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), "REVOKED"))),
+                back::add);
+        assertFalse(leases.mayFill(3));
+        time.run(from + 299);
+        assertEquals(List.of(), back);
+        time.run(from + 300);
+        assertEquals(List.of(new LeaseRevokeResponse(true, List.of(3))), back);
+    }
+}
--- a/testkit/src/test/java/org/rowanvalve/testkit/PairsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PairsTest.java
@@ -7,7 +7,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.rowanvalve.testkit.judge.Judge;
-import org.rowanvalve.testkit.sim.ScriptRunner;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.scenario.ScenarioGenerator;
+import org.rowanvalve.testkit.sim.ScenarioRunner;
 
 /** Troubles on top of each other; {@code rwrig pairs} plays all of them. */
 class PairsTest {
@@ -23,12 +25,12 @@
         "purges,slow"
     })
     void everyRuleIsKeptThroughBoth(final String first, final String second) {
-        for (final Place place : List.of(Place.kilimanjaro(), Place.coastline())) {
+        for (final Deployment deployment : List.of(Deployment.kilimanjaro(), Deployment.coastline())) {
             final List<String> two = List.of(first, second);
-            assertTrue(DayDraw.pairs(place).contains(two));
-            final ScriptRunner play = new ScriptRunner(DayDraw.pair(place, two, 1), 1);
+            assertTrue(ScenarioGenerator.pairs(deployment).contains(two));
+            final ScenarioRunner play = new ScenarioRunner(ScenarioGenerator.pair(deployment, two, 1), 1);
             final Judge judge = new Judge(play.run());
-            assertTrue(judge.clean(), place.name() + " " + judge.text(3));
+            assertTrue(judge.clean(), deployment.name() + " " + judge.text(3));
             assertEquals(List.of(), play.missed());
         }
     }
