--- a/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -10,54 +10,64 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.Ballot;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Journal;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Loop;
-import org.rowanvalve.common.Mark;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.common.Token;
-import org.rowanvalve.control.ConfigView;
-import org.rowanvalve.control.ConfiguredRoute;
-import org.rowanvalve.control.ItemStore;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Plan;
-import org.rowanvalve.data.Answer;
-import org.rowanvalve.data.ClientRequest;
-import org.rowanvalve.data.Edge;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ChosenItem;
+import org.rowanvalve.common.message.FenceAckRequest;
+import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.message.LeaseGrantRequest;
+import org.rowanvalve.common.message.LeaseRevokeRequest;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.VersionVector;
+import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.control.config.ConfigurationView;
+import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.control.store.ItemStore;
+import org.rowanvalve.data.edge.Edge;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.scenario.Scenario;
 import org.rowanvalve.testkit.sim.SimCluster;
-import org.rowanvalve.testkit.sim.World;
+import org.rowanvalve.testkit.sim.VirtualTime;
 
 /** Single parts whose rules no whole run shows by itself. */
 class PartsTest {
-    private final World world = new World(1);
-    private final Loop loop = world.loop();
-    private final Journal journal = new Journal(loop, 100);
-    private final ItemStore held = new ItemStore(loop, journal);
-    private final ConfigView view = new ConfigView(held);
+    private final VirtualTime time = new VirtualTime(1);
+    private final EventLoop loop = time.loop();
+    private final EventJournal journal = new EventJournal(loop, 100);
+    private final ItemStore items = new ItemStore(loop, journal);
+    private final ConfigurationView configuration = new ConfigurationView(items);
     private long ver;
 
-    private void hold(final Kind kind, final String name, final String body) {
+    private void hold(final ItemKind kind, final String name, final String body) {
         final ItemId id = new ItemId(kind, name);
-        held.merge(new Msg.Chosen(new Ballot(++ver, "x"), held.get(id).next(body, "t" + ver)));
+        items.merge(new ChosenItem(new Ballot(++ver, "x"), items.get(id).successor(body, "t" + ver)));
     }
 
     private void stock(final long life) {
-        hold(Kind.SERVICE, "s", "{\"kind\":\"content\",\"rate\":10,\"bodyLimit\":10,\"cutoffMs\":1000}");
+        hold(ItemKind.SERVICE, "s", "{\"kind\":\"content\",\"rate\":10,\"bodyLimit\":10,\"cutoffMs\":1000}");
         hold(
-                Kind.ROUTE,
+                ItemKind.ROUTE,
                 "r",
-                Json.text(Log.row(
+                Json.write(RunLog.row(
                         "prefix", "/s/", "service", "s", "mode", "cached", "lifetimeMs", life, "purgeable", true)));
-        hold(Kind.PLAN, "plan", Json.text(new Plan(1, 1, List.of(new Plan.Part("sh1", 2, 5)))));
+        hold(
+                ItemKind.PLAN,
+                "plan",
+                Json.write(new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("sh1", 2, 5)))));
     }
 
-    private Msg.Filled filled(final String token, final Mark mark, final long age) {
-        return new Msg.Filled("done", "", 200, Token.parse(token), Map.of(), "x".getBytes(), age, mark, 0);
+    private ForwardResponse filled(final String token, final VersionVector mark, final long age) {
+        return new ForwardResponse("done", "", 200, FencingToken.parse(token), Map.of(), "x".getBytes(), age, mark, 0);
     }
 
     @Test
@@ -65,13 +75,21 @@
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks.add(then), view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        final Mark mark = view.mark(view.named("r").orElseThrow(), "/s/1");
+                loop,
+                (to, msg, wait, then) -> asks.add(then),
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        final VersionVector mark =
+                configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1");
         asks.get(0).accept(Reply.of(filled("2.4", mark, 0)));
         assertEquals(List.of(), got);
-        world.run(500);
+        time.run(500);
         asks.get(1).accept(Reply.of(filled("2.5", mark, 0)));
         assertEquals(200, got.get(0).status());
     }
@@ -81,15 +99,26 @@
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks.add(then), view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        asks.get(0).accept(Reply.of(filled("2.5", view.mark(view.named("r").orElseThrow(), "/s/1"), 900)));
-        world.run(99);
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+                loop,
+                (to, msg, wait, then) -> asks.add(then),
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        asks.get(0)
+                .accept(Reply.of(filled(
+                        "2.5",
+                        configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"),
+                        900)));
+        time.run(99);
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
         assertEquals(2, got.size());
-        world.run(101);
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        time.run(101);
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
         assertEquals(2, got.size());
         assertEquals(2, asks.size());
     }
@@ -99,22 +128,34 @@
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks.add(then), view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        final Mark before = view.mark(view.named("r").orElseThrow(), "/s/1");
-        hold(Kind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
+                loop,
+                (to, msg, wait, then) -> asks.add(then),
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        final VersionVector before =
+                configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1");
+        hold(ItemKind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
         asks.get(0).accept(Reply.of(filled("2.5", before, 0)));
         assertEquals(List.of(), got, "the overtaken answer reaches nobody");
-        world.run(200);
+        time.run(200);
         assertEquals(2, asks.size(), "it is asked for again");
         asks.get(1).accept(Reply.of(filled("2.5", before, 0)));
-        world.run(500);
+        time.run(500);
         asks.get(2).accept(Reply.of(filled("2.5", before, 0)));
         assertEquals(503, got.get(0).status());
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
         assertEquals(4, asks.size(), "nothing was kept");
-        asks.get(3).accept(Reply.of(filled("2.5", view.mark(view.named("r").orElseThrow(), "/s/1"), 0)));
+        asks.get(3)
+                .accept(Reply.of(filled(
+                        "2.5",
+                        configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"),
+                        0)));
         assertEquals(200, got.get(1).status());
     }
 
@@ -124,37 +165,45 @@
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks.add(then), view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
-        final List<Mark> marks = new ArrayList<>();
+                loop,
+                (to, msg, wait, then) -> asks.add(then),
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
+        final List<VersionVector> marks = new ArrayList<>();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 40; i++) {
-                edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+                edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
             }
-            marks.add(view.mark(view.named("r").orElseThrow(), "/s/1"));
-            hold(Kind.PURGE, "p" + round, "{\"route\":\"r\",\"path\":\"/s/1\"}");
+            marks.add(configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"));
+            hold(ItemKind.PURGE, "p" + round, "{\"route\":\"r\",\"path\":\"/s/1\"}");
         }
         assertEquals(3, asks.size());
         for (int i = 0; i < 40; i++) {
-            edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
         }
-        marks.add(view.mark(view.named("r").orElseThrow(), "/s/1"));
+        marks.add(configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"));
         for (int i = 0; i < 4; i++) {
             asks.get(i).accept(Reply.of(filled("2.5", marks.get(i), 0)));
         }
-        world.run(2000);
+        time.run(2000);
         assertEquals(4, asks.size(), "nobody asked anew");
-        assertEquals(160, got.stream().filter(a -> a.status() == 200).count());
-        assertEquals(0, edge.busy());
+        assertEquals(
+                160, got.stream().filter(response -> response.status() == 200).count());
+        assertEquals(0, edge.openRequests());
     }
 
     @Test
     void aRoutesConditionIsJudgedAtTheEdge() {
         stock(1000);
         hold(
-                Kind.ROUTE,
+                ItemKind.ROUTE,
                 "r",
-                Json.text(Log.row(
+                Json.write(RunLog.row(
                         "prefix",
                         "/s/",
                         "service",
@@ -168,17 +217,17 @@
                         "when",
                         "int(query) < 3 && path.startsWith('/s/a')")));
         final int[] asks = {0};
-        final Edge edge =
-                new Edge(loop, (to, msg, wait, then) -> asks[0]++, view, () -> true, 1, journal, 1 << 20, n -> true);
+        final Edge edge = new Edge(
+                loop, (to, msg, wait, then) -> asks[0]++, configuration, () -> true, 1, journal, 1 << 20, node -> true);
         final List<Integer> got = new ArrayList<>();
         for (final String path : List.of("/s/a?2", "/s/b?2", "/s/a?5", "/s/a?many")) {
-            edge.take(new ClientRequest("GET", path, null, null, ""), a -> got.add(a.status()));
+            edge.handle(new ClientRequest("GET", path, null, null, ""), response -> got.add(response.status()));
         }
         assertEquals(List.of(403, 403, 400), got);
         assertEquals(1, asks[0], "the first is on its way");
         for (final String bad :
                 List.of("path +", "size", "nobody == 1", "[1,2].all(x, x > 0)", "path == '" + "x".repeat(400) + "'")) {
-            assertTrue(org.rowanvalve.control.Rule.fault(bad).isPresent(), bad);
+            assertTrue(org.rowanvalve.control.config.RouteCondition.error(bad).isPresent(), bad);
         }
     }
 
@@ -187,67 +236,72 @@
     void aRouteWithoutItsServiceIsUnfitAndServesNothing() {
         stock(1000);
         hold(
-                Kind.ROUTE,
+                ItemKind.ROUTE,
                 "wide",
                 "{\"prefix\":\"/\",\"service\":\"s\",\"mode\":\"status\",\"lifetimeMs\":0,\"purgeable\":true}");
-        held.merge(new Msg.Chosen(
+        items.merge(new ChosenItem(
                 new Ballot(98, "x"),
-                Item.none(new ItemId(Kind.ROUTE, "late"))
-                        .next(
+                Item.none(new ItemId(ItemKind.ROUTE, "late"))
+                        .successor(
                                 "{\"prefix\":\"/s/late/\",\"service\":\"gone\",\"mode\":\"cached\",\"lifetimeMs\":9,\"purgeable\":true}",
                                 "t")));
         final int[] asks = {0};
-        final Edge edge =
-                new Edge(loop, (to, msg, wait, then) -> asks[0]++, view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
-        edge.take(new ClientRequest("GET", "/s/late/1", null, null, ""), got::add);
+        final Edge edge = new Edge(
+                loop, (to, msg, wait, then) -> asks[0]++, configuration, () -> true, 1, journal, 1 << 20, node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
+        edge.handle(new ClientRequest("GET", "/s/late/1", null, null, ""), got::add);
         assertEquals("503 refused", got.get(0).status() + " " + got.get(0).fate());
         assertEquals(0, asks[0], "not even the wider route gets it");
-        final org.rowanvalve.control.ItemService clerk =
-                new org.rowanvalve.control.ItemService(loop, held, null, null, journal, () -> "t");
+        final org.rowanvalve.control.operator.ConfigurationService clerk =
+                new org.rowanvalve.control.operator.ConfigurationService(loop, items, null, null, journal, () -> "t");
         assertTrue(
-                clerk.unfit().stream().anyMatch(f -> f.place().equals("/routes/late/service")),
-                clerk.unfit().toString());
-        assertTrue(clerk.get(new ItemId(Kind.ROUTE, "late")).body().containsKey("findings"));
-        assertTrue(view.named("late").isEmpty(), "no shield fills for it");
+                clerk.referenceErrors().stream().anyMatch(error -> error.path().equals("/routes/late/service")),
+                clerk.referenceErrors().toString());
+        assertTrue(clerk.getItem(new ItemId(ItemKind.ROUTE, "late")).body().containsKey("findings"));
+        assertTrue(configuration.routeNamed("late").isEmpty(), "no shield fills for it");
     }
 
     @Test
     void anAnswerMustProveStampRequestAndLength() {
-        final org.rowanvalve.control.Origin to =
-                new org.rowanvalve.control.Origin("s", "h", 1, "b", "content", 0, 1, false, 1);
-        final org.rowanvalve.data.Port.Send sent =
-                new org.rowanvalve.data.Port.Send("s", "GET", "/s/1", "r1", null, null, null, 1);
+        final org.rowanvalve.control.config.Origin to =
+                new org.rowanvalve.control.config.Origin("s", "h", 1, "b", "content", 0, 1, false, 1);
+        final org.rowanvalve.data.origin.OriginTransport.OutboundRequest sent =
+                new org.rowanvalve.data.origin.OriginTransport.OutboundRequest(
+                        "s", "GET", "/s/1", "r1", null, null, null, 1);
         final byte[] body = "abc".getBytes();
         final Map<String, String> good = new TreeMap<>(Map.of(
-                org.rowanvalve.data.AnswerCheck.STAMP,
+                org.rowanvalve.data.origin.OriginResponseValidator.INSTANCE_HEADER,
                 "b",
-                org.rowanvalve.data.AnswerCheck.REQUEST,
+                org.rowanvalve.data.origin.OriginResponseValidator.REQUEST_HEADER,
                 "r1",
                 "content-length",
                 "3",
-                org.rowanvalve.data.AnswerCheck.DIGEST,
-                org.rowanvalve.common.Hash.digest(body)));
-        assertEquals("", org.rowanvalve.data.AnswerCheck.fault(to, sent, good, body));
+                org.rowanvalve.data.origin.OriginResponseValidator.DIGEST_HEADER,
+                org.rowanvalve.common.model.Hash.sha256Hex(body)));
+        assertEquals("", org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, good, body));
         good.forEach((k, v) -> {
             final Map<String, String> bad = new TreeMap<>(good);
             bad.put(k, v + "0");
             assertFalse(
-                    org.rowanvalve.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
+                    org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, bad, body)
+                            .isEmpty(),
+                    k);
             bad.remove(k);
             assertFalse(
-                    org.rowanvalve.data.AnswerCheck.fault(to, sent, bad, body).isEmpty(), k);
+                    org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, bad, body)
+                            .isEmpty(),
+                    k);
         });
     }
 
     @Test
     void versionsNeverFall() {
-        final ItemId id = new ItemId(Kind.SERVICE, "s");
-        final Item one = Item.none(id).next("{\"kind\":\"booking\"}", "a");
-        final Item two = one.next("{\"kind\":\"booking\"}", "b");
-        assertTrue(held.merge(new Msg.Chosen(new Ballot(2, "x"), two)));
-        assertFalse(held.merge(new Msg.Chosen(new Ballot(9, "x"), one)));
-        assertEquals(2, held.get(id).ver().n());
+        final ItemId id = new ItemId(ItemKind.SERVICE, "s");
+        final Item one = Item.none(id).successor("{\"kind\":\"booking\"}", "a");
+        final Item two = one.successor("{\"kind\":\"booking\"}", "b");
+        assertTrue(items.merge(new ChosenItem(new Ballot(2, "x"), two)));
+        assertFalse(items.merge(new ChosenItem(new Ballot(9, "x"), one)));
+        assertEquals(2, items.get(id).version().number());
     }
 
     @Test
@@ -255,64 +309,75 @@
         stock(60_000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks.add(then), view, () -> true, 1, journal, 1 << 20, n -> true);
-        final List<Answer> got = new ArrayList<>();
+                loop,
+                (to, msg, wait, then) -> asks.add(then),
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
+        final List<ClientResponse> got = new ArrayList<>();
         for (final String purge :
                 List.of("{\"route\":\"r\",\"path\":\"/s/1\"}", "{\"route\":\"r\",\"prefix\":\"/s/\"}")) {
-            edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
             asks.get(asks.size() - 1)
-                    .accept(Reply.of(filled("2.5", view.mark(view.named("r").orElseThrow(), "/s/1"), 0)));
-            edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-            hold(Kind.PURGE, "p" + purge.length(), purge);
+                    .accept(Reply.of(filled(
+                            "2.5",
+                            configuration.versionsOf(
+                                    configuration.routeNamed("r").orElseThrow(), "/s/1"),
+                            0)));
+            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            hold(ItemKind.PURGE, "p" + purge.length(), purge);
         }
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
         assertEquals(
                 List.of("miss", "hit", "miss", "hit"),
-                got.stream().map(a -> a.heads().get("Rv-Cache")).toList());
+                got.stream().map(response -> response.headers().get("Rv-Cache")).toList());
         assertEquals(3, asks.size(), "the last one is on its way");
     }
 
     @Test
     void aDeletedPurgeStillHoldsForOlderCopies() {
         stock(1000);
-        final ConfiguredRoute row = view.named("r").orElseThrow();
-        final Mark before = view.mark(row, "/s/1");
-        hold(Kind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
-        final Item p = held.get(new ItemId(Kind.PURGE, "p"));
-        held.merge(new Msg.Chosen(new Ballot(99, "x"), p.grave("d")));
-        assertFalse(before.covers(view.mark(row, "/s/1")));
-        assertTrue(before.covers(view.mark(row, "/s/2")));
+        final ConfiguredRoute row = configuration.routeNamed("r").orElseThrow();
+        final VersionVector before = configuration.versionsOf(row, "/s/1");
+        hold(ItemKind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
+        final Item p = items.get(new ItemId(ItemKind.PURGE, "p"));
+        items.merge(new ChosenItem(new Ballot(99, "x"), p.tombstone("d")));
+        assertFalse(before.covers(configuration.versionsOf(row, "/s/1")));
+        assertTrue(before.covers(configuration.versionsOf(row, "/s/2")));
     }
 
     @Test
     void usualStatusesAtAnEdge() {
         stock(1000);
-        hold(Kind.SERVICE, "b", "{\"kind\":\"booking\",\"rate\":0,\"bodyLimit\":10,\"cutoffMs\":1000}");
+        hold(ItemKind.SERVICE, "b", "{\"kind\":\"booking\",\"rate\":0,\"bodyLimit\":10,\"cutoffMs\":1000}");
         hold(
-                Kind.ROUTE,
+                ItemKind.ROUTE,
                 "o",
                 "{\"prefix\":\"/o/\",\"service\":\"b\",\"mode\":\"once\",\"lifetimeMs\":0,\"purgeable\":true}");
         final boolean[] fresh = {true};
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> then.accept(Reply.lost(Reply.Trouble.NO_ANSWER)),
-                view,
+                (to, msg, wait, then) -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)),
+                configuration,
                 () -> fresh[0],
                 1,
                 journal,
                 1 << 20,
-                n -> true);
+                node -> true);
         final List<String> got = new ArrayList<>();
-        final Consumer<Answer> note = a -> got.add(a.status() + " " + a.fate());
-        edge.take(new ClientRequest("GET", "/none", null, null, ""), note);
-        edge.take(new ClientRequest("POST", "/s/1", null, null, ""), note);
-        edge.take(new ClientRequest("POST", "/o/1", "k", new byte[11], ""), note);
-        edge.take(new ClientRequest("POST", "/o/1", "", new byte[1], ""), note);
-        edge.take(new ClientRequest("POST", "/o/1", "k", new byte[1], ""), note);
+        final Consumer<ClientResponse> note = response -> got.add(response.status() + " " + response.fate());
+        edge.handle(new ClientRequest("GET", "/none", null, null, ""), note);
+        edge.handle(new ClientRequest("POST", "/s/1", null, null, ""), note);
+        edge.handle(new ClientRequest("POST", "/o/1", "k", new byte[11], ""), note);
+        edge.handle(new ClientRequest("POST", "/o/1", "", new byte[1], ""), note);
+        edge.handle(new ClientRequest("POST", "/o/1", "k", new byte[1], ""), note);
         fresh[0] = false;
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), note);
-        edge.shut();
-        edge.take(new ClientRequest("GET", "/s/1", null, null, ""), note);
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), note);
+        edge.close();
+        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), note);
         assertEquals(
                 List.of(
                         "404 refused",
@@ -323,11 +388,13 @@
                         "503 refused",
                         "503 refused"),
                 got);
-        assertEquals(0, edge.busy());
+        assertEquals(0, edge.openRequests());
     }
 
     private static long worst(final double pace, final long heldFrom, final long heldTo) {
-        final org.rowanvalve.control.Pace p = new org.rowanvalve.control.Pace(org.rowanvalve.common.Timing.DEFAULT);
+        final org.rowanvalve.control.membership.HeartbeatClockMonitor p =
+                new org.rowanvalve.control.membership.HeartbeatClockMonitor(
+                        org.rowanvalve.common.model.LeaseTimings.DEFAULT);
         final NodeId peer = NodeId.of("sh1");
         final java.util.PriorityQueue<long[]> beats = new java.util.PriorityQueue<>(
                 (a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
@@ -336,8 +403,8 @@
         }
         long most = 0;
         for (long[] b = beats.poll(); b != null; b = beats.poll()) {
-            p.hear(peer, b[0], b[1]);
-            most = Math.max(most, p.proved(peer));
+            p.addSample(peer, b[0], b[1]);
+            most = Math.max(most, p.provenSkewMs(peer));
         }
         return most;
     }
@@ -354,27 +421,29 @@
     /** On reconnect: revokes, then fence acknowledgements, then the whole placement. */
     @Test
     void aReturningHolderHearsRevokesThenAcksThenItsPlacement() {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 8).open();
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 8).open();
         final List<String> heard = new ArrayList<>();
-        town.net().tap((to, msg) -> {
+        cluster.net().tap((to, msg) -> {
             if (to.text().equals("sh3")
-                    && (msg instanceof Msg.Revoke || msg instanceof Msg.FenceAck || msg instanceof Msg.Place)) {
+                    && (msg instanceof LeaseRevokeRequest
+                            || msg instanceof FenceAckRequest
+                            || msg instanceof LeaseGrantRequest)) {
                 heard.add(msg.getClass().getSimpleName());
             }
         });
-        town.cut(List.of("sh3"), 9000);
-        town.run(9000);
+        cluster.cut(List.of("sh3"), 9000);
+        cluster.run(9000);
         heard.clear();
-        town.run(4000);
+        cluster.run(4000);
         assertEquals(List.of("Revoke", "FenceAck", "Place"), heard.subList(0, 3), heard.toString());
-        assertTrue(town.node("sh3").node().holder().count() > 0, "and it holds shards again");
-        assertEquals(NodeId.of("sh3"), town.node("sh3").id());
+        assertTrue(cluster.node("sh3").node().leaseHolder().heldCount() > 0, "and it holds shards again");
+        assertEquals(NodeId.of("sh3"), cluster.node("sh3").id());
     }
 
     @Test
     void aScriptsFaultsAreToldWithTheirPlace() {
-        final List<org.rowanvalve.common.Finding> faults = new ArrayList<>();
-        Script.read("""
+        final List<org.rowanvalve.common.model.ValidationError> faults = new ArrayList<>();
+        Scenario.read("""
             {"name":"x","place":"coastline","seconds":10,"steps":[{"at":1,"trouble":"rain","ms":1,"who":"st1"},
              {"at":99999,"trouble":"kill","ms":1,"who":"st9"},{"at":1,"trouble":"lose-disk","ms":5,"who":"ed1"},
              {"at":1,"trouble":"origin-crash","ms":5,"who":"st1"},{"at":-1,"trouble":"kill","ms":5}]}""".getBytes(), faults);
@@ -387,6 +456,8 @@
                         "/steps/3/who",
                         "/steps/4/at",
                         "/steps/4/who"),
-                faults.stream().map(org.rowanvalve.common.Finding::place).toList());
+                faults.stream()
+                        .map(org.rowanvalve.common.model.ValidationError::path)
+                        .toList());
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ProofTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ProofTest.java
@@ -24,10 +24,10 @@
     private static Map<String, String> sources() throws IOException {
         final Map<String, String> map = new TreeMap<>();
         try (Stream<Path> all = Files.walk(TOP)) {
-            for (final Path p : all.filter(
+            for (final Path path : all.filter(
                             f -> f.toString().endsWith(".java") && !f.toString().contains("target"))
                     .toList()) {
-                map.merge(p.getFileName().toString().replace(".java", ""), Files.readString(p), String::concat);
+                map.merge(path.getFileName().toString().replace(".java", ""), Files.readString(path), String::concat);
             }
         }
         return map;
@@ -38,9 +38,9 @@
         final Map<String, String> code = sources();
         final List<String> missing = new ArrayList<>();
         int seen = 0;
-        final Matcher m = Pattern.compile("`([^`]+)`").matcher(Files.readString(TOP.resolve("docs/PROOF.md")));
-        while (m.find()) {
-            final String name = m.group(1);
+        final Matcher matcher = Pattern.compile("`([^`]+)`").matcher(Files.readString(TOP.resolve("docs/PROOF.md")));
+        while (matcher.find()) {
+            final String name = matcher.group(1);
             final boolean there = name.contains("/")
                     ? Files.exists(TOP.resolve(name))
                     : name.contains("#")
--- a/testkit/src/test/java/org/rowanvalve/testkit/SharesTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RateSharesTest.java
@@ -8,44 +8,47 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Plan;
-import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 import org.rowanvalve.testkit.sim.SimNode;
 
 /** A hot shard gets the part of a store's rate that it wants, and the ceiling holds while parts change hands. */
-class SharesTest {
+class RateSharesTest {
     /** Objects of one holder only are asked for, more than its even part allows; then of another. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void sharesFollowDemandAndTheCeilingHolds(final long seed) {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), seed).open();
-        town.crowd().factor(0.02);
-        town.itemOperator().stop();
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed).open();
+        cluster.crowd().factor(0.02);
+        cluster.itemOperator().stop();
         final byte[] service = "{\"kind\":\"content\",\"rate\":12}".getBytes();
-        final byte[] route = Json.text(Log.row("prefix", "/hot/", "service", "hot", "mode", "cached", "lifetimeMs", 1))
+        final byte[] route = Json.write(
+                        RunLog.row("prefix", "/hot/", "service", "hot", "mode", "cached", "lifetimeMs", 1))
                 .getBytes();
-        town.node("ed1")
-                .post(() -> town.node("ed1")
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
                         .node()
-                        .clerk()
-                        .put(
-                                new ItemId(Kind.SERVICE, "hot"),
+                        .configurationService()
+                        .putItem(
+                                new ItemId(ItemKind.SERVICE, "hot"),
                                 service,
                                 0,
                                 "s",
-                                x -> town.log()
-                                        .add(Log.row(
+                                x -> cluster.log()
+                                        .add(RunLog.row(
                                                 "log",
                                                 "op",
                                                 "t",
-                                                town.world().now(),
+                                                cluster.world().now(),
                                                 "end",
-                                                town.world().now(),
+                                                cluster.world().now(),
                                                 "what",
                                                 "put",
                                                 "item",
@@ -58,20 +61,24 @@
                                                 x.status(),
                                                 "version",
                                                 1))));
-        town.run(500);
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().clerk().put(new ItemId(Kind.ROUTE, "hot"), route, 0, "r", s -> {}));
-        town.origins().start("hot1", "hot", "content");
-        town.origins().start("hot2", "hot", "content");
-        town.run(3000);
+        cluster.run(500);
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
+                        .node()
+                        .configurationService()
+                        .putItem(new ItemId(ItemKind.ROUTE, "hot"), route, 0, "r", s -> {}));
+        cluster.origins().start("hot1", "hot", "content");
+        cluster.origins().start("hot2", "hot", "content");
+        cluster.run(3000);
         final long[] done = new long[4];
         for (int phase = 0; phase < 2; phase++) {
             final String holder = phase == 0 ? "sh2" : "sh3";
-            final Plan plan = town.node("ed1").node().view().plan();
+            final PlacementPlan plan =
+                    cluster.node("ed1").node().configuration().plan();
             final List<String> paths = new ArrayList<>();
             for (int i = 0; paths.size() < 40; i++) {
-                if (plan.parts()
-                        .get(Plan.shard("hot", "hot", "/hot/" + i, 32))
+                if (plan.assignments()
+                        .get(PlacementPlan.shardOf("hot", "hot", "/hot/" + i, 32))
                         .owner()
                         .equals(holder)) {
                     paths.add("/hot/" + i);
@@ -80,14 +87,14 @@
             for (int half = 0; half < 2; half++) {
                 final int at = 2 * phase + half;
                 for (int i = 0; i < 600; i++) {
-                    final SimNode ed = town.node("ed" + (1 + i % 11));
+                    final SimNode ed = cluster.node("ed" + (1 + i % 11));
                     final String path = paths.get(i % paths.size());
-                    ed.post(() -> ed.node()
+                    ed.execute(() -> ed.node()
                             .edge()
-                            .take(
+                            .handle(
                                     new ClientRequest("GET", path, null, new byte[0], ""),
-                                    a -> done[at] += a.status() == 200 ? 1 : 0));
-                    town.run(20);
+                                    response -> done[at] += response.status() == 200 ? 1 : 0));
+                    cluster.run(20);
                 }
             }
         }
@@ -96,7 +103,7 @@
         assertTrue(done[1] >= 263, "its holder comes to have the rate, 288 at most: " + done[1]);
         assertTrue(done[2] >= 110, "demand that moves to another holder is followed: " + done[2]);
         assertTrue(done[3] >= 205, "that holder comes to have the rate: " + done[3]);
-        final Judge judge = new Judge(town.close());
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
         assertTrue(judge.rule(9).checked() > 300);
     }
@@ -104,18 +111,20 @@
     /** What a plan's weights come to is never more than the whole, whatever step they are at. */
     @Test
     void weightsNeverPassTheWhole() {
-        final SimCluster town = new SimCluster(Place.coastline(), 4).open();
-        town.run(20_000);
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), 4).open();
+        cluster.run(20_000);
         for (final String n : List.of("sh1", "st1", "ed1")) {
-            final Plan plan = town.node(n).node().view().plan();
+            final PlacementPlan plan = cluster.node(n).node().configuration().plan();
             for (final String s : List.of("listing", "seats")) {
                 int sum = 0;
                 for (int i = 0; i < 32; i++) {
                     sum += plan.weight(s, i);
                 }
-                assertTrue(sum <= Plan.WHOLE, n + " " + s + " " + sum);
+                assertTrue(sum <= PlacementPlan.WEIGHT_SCALE, n + " " + s + " " + sum);
             }
         }
-        assertEquals(32, town.node("ed1").node().view().plan().parts().size());
+        assertEquals(
+                32,
+                cluster.node("ed1").node().configuration().plan().assignments().size());
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
@@ -10,6 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
@@ -23,9 +24,9 @@
 import org.junit.platform.launcher.core.LauncherDiscoveryRequestBuilder;
 import org.junit.platform.launcher.core.LauncherFactory;
 import org.junit.platform.launcher.listeners.SummaryGeneratingListener;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.control.JsonReader;
-import org.rowanvalve.control.JsonShape;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.control.json.JsonObjectReader;
+import org.rowanvalve.control.json.JsonReader;
 
 /**
  * Rules taken out of the source one at a time, each shown to be caught by the test that is named for it. Exit 0: all
@@ -39,57 +40,58 @@
 
     private Removals() {}
 
-    static Map<String, Removal> all(final List<Finding> faults) throws IOException {
+    static Map<String, Removal> all(final List<ValidationError> faults) throws IOException {
         final Map<String, Removal> map = new LinkedHashMap<>();
         final Object o = JsonReader.read(Files.readAllBytes(LIST), faults);
         if (!(o instanceof Map<?, ?> m) || !(m.get("removals") instanceof List<?> list)) {
-            faults.add(new Finding(LIST.toString(), "a list of removals is wanted"));
+            faults.add(new ValidationError(LIST.toString(), "a list of removals is wanted"));
             return map;
         }
         for (int i = 0; i < list.size(); i++) {
-            final JsonShape s = new JsonShape(list.get(i), LIST + "/removals/" + i, faults);
+            final JsonObjectReader object = new JsonObjectReader(list.get(i), LIST + "/removals/" + i, faults);
             final Removal r = new Removal(
-                    s.text("name", true, ""),
-                    s.text("rule", true, ""),
-                    s.text("file", true, ""),
-                    s.text("find", true, ""),
-                    s.text("put", true, ""),
-                    s.text("test", true, ""));
-            s.end();
-            check(r, s, faults);
+                    object.text("name", true, ""),
+                    object.text("rule", true, ""),
+                    object.text("file", true, ""),
+                    object.text("find", true, ""),
+                    object.text("put", true, ""),
+                    object.text("test", true, ""));
+            object.rejectUnknownMembers();
+            check(r, object, faults);
             if (map.put(r.name(), r) != null) {
-                s.fault("name", "stated twice: " + r.name());
+                object.addError("name", "stated twice: " + r.name());
             }
         }
         return map;
     }
 
-    private static void check(final Removal r, final JsonShape s, final List<Finding> faults) throws IOException {
+    private static void check(final Removal r, final JsonObjectReader object, final List<ValidationError> faults)
+            throws IOException {
         final Path file = TOP.resolve(r.file());
         if (!Files.isRegularFile(file)) {
-            s.fault("file", "no such file: " + r.file());
+            object.addError("file", "no such file: " + r.file());
         } else if (Files.readString(file).split(java.util.regex.Pattern.quote(r.find()), -1).length != 2) {
-            s.fault("find", "must stand in the file exactly once");
+            object.addError("find", "must stand in the file exactly once");
         }
         final int cut = r.test().indexOf('#');
         if (cut < 0) {
-            s.fault("test", "Class#method is wanted");
+            object.addError("test", "Class#method is wanted");
             return;
         }
         try (Stream<Path> tests = Files.walk(TOP)) {
             final String name = r.test().substring(0, cut) + ".java";
             final boolean there = tests.filter(
-                            p -> p.endsWith(name) && p.toString().contains("src"))
-                    .anyMatch(p -> {
+                            path -> path.endsWith(name) && path.toString().contains("src"))
+                    .anyMatch(path -> {
                         try {
-                            return Files.readString(p)
+                            return Files.readString(path)
                                     .contains("void " + r.test().substring(cut + 1) + "(");
                         } catch (final IOException e) {
                             return false;
                         }
                     });
             if (!there) {
-                s.fault("test", "no such test: " + r.test());
+                object.addError("test", "no such test: " + r.test());
             }
         }
     }
@@ -116,7 +118,7 @@
                 return "NOT COMPILED " + text;
             }
         }
-        final Process p = new ProcessBuilder(
+        final Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx1g",
                         "-XX:+PerfDisableSharedMem",
@@ -129,13 +131,13 @@
                 .redirectErrorStream(true)
                 .redirectOutput(dir.resolve("log").toFile())
                 .start();
-        if (!p.waitFor(10, TimeUnit.MINUTES)) {
-            p.destroyForcibly();
+        if (!process.waitFor(10, TimeUnit.MINUTES)) {
+            process.destroyForcibly();
             return "caught: did not end";
         }
-        return p.exitValue() == 1
+        return process.exitValue() == 1
                 ? "caught"
-                : p.exitValue() == 0 ? "NOT CAUGHT" : "NOT RUN " + Files.readString(dir.resolve("log"));
+                : process.exitValue() == 0 ? "NOT CAUGHT" : "NOT RUN " + Files.readString(dir.resolve("log"));
     }
 
     private static String classes() {
@@ -164,18 +166,24 @@
                 : seen.getSummary().getTestsFailedCount() > 0 ? 1 : 0;
     }
 
+    /** The test class of this simple name, in whichever package it is. */
     private static Class<?> type(final String name) throws ClassNotFoundException {
-        for (final String pack : List.of(
-                "org.rowanvalve.testkit.",
-                "org.rowanvalve.data.",
-                "org.rowanvalve.control.",
-                "org.rowanvalve.server.",
-                "org.rowanvalve.common.")) {
-            try {
-                return Class.forName(pack + name);
-            } catch (final ClassNotFoundException e) {
+        for (final String entry : classes().split(File.pathSeparator)) {
+            final Path folder = Path.of(entry);
+            if (!Files.isDirectory(folder)) {
                 continue;
             }
+            try (Stream<Path> files = Files.walk(folder)) {
+                final Optional<Path> found =
+                        files.filter(file -> file.endsWith(name + ".class")).findFirst();
+                if (found.isPresent()) {
+                    final String path = folder.relativize(found.get()).toString();
+                    return Class.forName(
+                            path.substring(0, path.length() - ".class".length()).replace(File.separatorChar, '.'));
+                }
+            } catch (final IOException e) {
+                throw new ClassNotFoundException(name, e);
+            }
         }
         throw new ClassNotFoundException(name);
     }
@@ -188,8 +196,8 @@
             list.forEach(r ->
                     going.put(r.name(), pool.submit(() -> caught(r, Files.createDirectories(dir.resolve(r.name()))))));
             final Map<String, String> ends = new LinkedHashMap<>();
-            for (final Map.Entry<String, Future<String>> e : going.entrySet()) {
-                ends.put(e.getKey(), e.getValue().get());
+            for (final Map.Entry<String, Future<String>> entry : going.entrySet()) {
+                ends.put(entry.getKey(), entry.getValue().get());
             }
             return ends;
         } finally {
@@ -206,15 +214,15 @@
                 System.exit(3);
             }
         }
-        final List<Finding> faults = new ArrayList<>();
+        final List<ValidationError> faults = new ArrayList<>();
         final Map<String, Removal> all = all(faults);
         for (int i = 0; i < args.length; i++) {
             if (!all.containsKey(args[i])) {
-                faults.add(new Finding("argument " + (i + 1), "no removal is named " + args[i]));
+                faults.add(new ValidationError("argument " + (i + 1), "no removal is named " + args[i]));
             }
         }
         if (!faults.isEmpty()) {
-            faults.forEach(f -> System.err.println("rwremovals: " + f));
+            faults.forEach(error -> System.err.println("rwremovals: " + error));
             System.exit(2);
         }
         final List<Removal> list = args.length == 0
--- a/testkit/src/test/java/org/rowanvalve/testkit/RemovalsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RemovalsTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.rowanvalve.common.Finding;
+import org.rowanvalve.common.model.ValidationError;
 
 /** Each rule has a removal; all fit the source; the quick ones are taken out here, the rest by {@code bin/rwremovals}. */
 class RemovalsTest {
@@ -24,7 +24,7 @@
 
     @Test
     void everyRuleHasARemovalThatFitsTheSource() throws Exception {
-        final List<Finding> faults = new ArrayList<>();
+        final List<ValidationError> faults = new ArrayList<>();
         final Map<String, Removals.Removal> all = Removals.all(faults);
         assertEquals(List.of(), faults);
         final Set<String> rules =
@@ -49,10 +49,10 @@
         final Removals.Removal none = new Removals.Removal(
                 "none",
                 "1",
-                "data/src/main/java/org/rowanvalve/data/RateLimiter.java",
+                "data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java",
                 "1000.0 / (rate * share)",
                 "1000.0 / (share * rate)",
-                "LeaseTest#fourHoldersSharesAddUpToTheRateInEveryWindow");
+                "LeaseHolderTest#fourHoldersSharesAddUpToTheRateInEveryWindow");
         assertEquals("NOT CAUGHT", Removals.caught(none, dir));
         final Removals.Removal nobody =
                 new Removals.Removal("nobody", "1", none.file(), none.find(), none.put(), "NoSuchTest#here");
--- a/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -13,32 +13,34 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Leadership;
-import org.rowanvalve.control.Tenure;
-import org.rowanvalve.data.Answer;
-import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.election.LeaderElection;
+import org.rowanvalve.control.election.Leadership;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Accepted means both stores; after power and a disk are lost together the surviving store goes on by itself. */
 class ResumeTest {
-    private static final ItemId ROUTE = new ItemId(Kind.ROUTE, "extra");
+    private static final ItemId ROUTE = new ItemId(ItemKind.ROUTE, "extra");
 
     private static byte[] body(final long life) {
-        return Json.text(Log.row("prefix", "/extra/", "service", "listing", "mode", "cached", "lifetimeMs", life))
+        return Json.write(RunLog.row("prefix", "/extra/", "service", "listing", "mode", "cached", "lifetimeMs", life))
                 .getBytes();
     }
 
-    private static long ver(final SimCluster town, final String node, final ItemId id) {
-        return town.node(node).node().held().get(id).ver().n();
+    private static long ver(final SimCluster cluster, final String node, final ItemId id) {
+        return cluster.node(node).node().items().get(id).version().number();
     }
 
-    private static long count(final SimCluster town, final String name) {
-        return town.log().rows().stream()
+    private static long count(final SimCluster cluster, final String name) {
+        return cluster.log().rows().stream()
                 .filter(r -> name.equals(r.get("name")))
                 .count();
     }
@@ -55,15 +57,17 @@
         return list.stream();
     }
 
-    private static List<String> set(final SimCluster town, final String victim, final String power) {
+    private static List<String> set(final SimCluster cluster, final String victim, final String power) {
         final String other = victim.equals("st1") ? "st2" : "st1";
         return switch (power) {
             case "core" -> List.of(victim, "sh1");
             case "electors" -> List.of(victim, "sh1", other);
             case "shields" ->
-                Stream.concat(Stream.of(victim), town.nodes().keySet().stream().filter(n -> n.startsWith("sh")))
+                Stream.concat(
+                                Stream.of(victim),
+                                cluster.nodes().keySet().stream().filter(n -> n.startsWith("sh")))
                         .toList();
-            default -> List.copyOf(town.nodes().keySet());
+            default -> List.copyOf(cluster.nodes().keySet());
         };
     }
 
@@ -72,66 +76,70 @@
     @MethodSource("losses")
     void powerAndOneStoresDiskLostTogetherLoseNothingAndNeedNobody(
             final String victim, final String power, final String order, final long seed) {
-        final Place place = seed % 2 == 0 ? Place.coastline() : Place.kilimanjaro();
-        final SimCluster town = new SimCluster(place, seed).open();
-        final String service = place.kin().get(0).service();
-        final String way = place.ways().stream()
-                        .filter(w -> w.mode().equals("once"))
-                        .findFirst()
-                        .orElseThrow()
-                        .prefix() + "1";
+        final Deployment deployment = seed % 2 == 0 ? Deployment.coastline() : Deployment.kilimanjaro();
+        final SimCluster cluster = new SimCluster(deployment, seed).open();
+        final String service = deployment.kin().get(0).service();
+        final String way =
+                deployment.ways().stream()
+                                .filter(w -> w.mode().equals("once"))
+                                .findFirst()
+                                .orElseThrow()
+                                .prefix() + "1";
         final List<Integer> said = new ArrayList<>();
-        final byte[] route = Json.text(
-                        Log.row("prefix", "/extra/", "service", service, "mode", "cached", "lifetimeMs", 500))
+        final byte[] route = Json.write(
+                        RunLog.row("prefix", "/extra/", "service", service, "mode", "cached", "lifetimeMs", 500))
                 .getBytes();
-        final ClientRequest ask = new ClientRequest("POST", way, "the-key", "{}".getBytes(), "application/json");
-        town.run(1000);
+        final ClientRequest request = new ClientRequest("POST", way, "the-key", "{}".getBytes(), "application/json");
+        cluster.run(1000);
         final Runnable lose = () -> {
-            final List<String> gone = set(town, victim, power);
-            gone.forEach(n -> town.kill(n, 0));
-            town.node(victim).disk().lose();
-            gone.forEach(n -> town.world()
+            final List<String> gone = set(cluster, victim, power);
+            gone.forEach(n -> cluster.kill(n, 0));
+            cluster.node(victim).disk().lose();
+            gone.forEach(n -> cluster.world()
                     .in(
                             n.equals(victim)
                                     ? order.equals("victim-first") ? 500 : order.equals("victim-last") ? 2500 : 1000
                                     : 1000 + seed * 37 % 400,
-                            () -> town.start(n)));
-            town.world().in(2500, () -> town.trouble("returned", "", 0));
+                            () -> cluster.start(n)));
+            cluster.world().in(2500, () -> cluster.trouble("returned", "", 0));
         };
         final int[] left = {2};
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().edge().take(ask, a -> {
-                    said.add(a.status());
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1").node().edge().handle(request, response -> {
+                    said.add(response.status());
                     if (--left[0] == 0) {
                         lose.run();
                     }
                 }));
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().clerk().put(ROUTE, route, 0, "w", s -> {
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1").node().configurationService().putItem(ROUTE, route, 0, "w", s -> {
                     said.add(s.status());
                     if (--left[0] == 0) {
                         lose.run();
                     }
                 }));
-        town.run(20_000);
+        cluster.run(20_000);
         assertEquals(List.of(200, 201), said.stream().sorted().toList());
-        town.nodes()
+        cluster.nodes()
                 .values()
-                .forEach(n -> assertTrue(
-                        n.node().elector() == null || n.node().elector().full(), n.id().text()));
-        town.nodes().keySet().forEach(n -> assertEquals(1, ver(town, n, ROUTE), n));
+                .forEach(node -> assertTrue(
+                        node.node().acceptor() == null || node.node().acceptor().hasState(),
+                        node.id().text()));
+        cluster.nodes().keySet().forEach(n -> assertEquals(1, ver(cluster, n, ROUTE), n));
         final List<String> again = new ArrayList<>();
-        town.node("ed2")
-                .post(() -> town.node("ed2")
+        cluster.node("ed2")
+                .execute(() -> cluster.node("ed2")
                         .node()
                         .edge()
-                        .take(ask, a -> again.add(a.fate() + " " + new String(a.body()))));
-        final List<ApiResult> next = new ArrayList<>();
-        town.node("ed2").post(() -> town.node("ed2").node().clerk().put(ROUTE, route, 1, "w2", next::add));
-        town.run(3000);
-        assertTrue(again.get(0).startsWith(Answer.DONE), again.toString());
+                        .handle(request, response -> again.add(response.fate() + " " + new String(response.body()))));
+        final List<ApiResponse> next = new ArrayList<>();
+        cluster.node("ed2")
+                .execute(() ->
+                        cluster.node("ed2").node().configurationService().putItem(ROUTE, route, 1, "w2", next::add));
+        cluster.run(3000);
+        assertTrue(again.get(0).startsWith(ClientResponse.DONE), again.toString());
         assertEquals(200, next.get(0).status());
-        final Judge judge = new Judge(town.close());
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
         assertTrue(judge.rule(11).checked() > 0);
     }
@@ -140,174 +148,184 @@
     @ParameterizedTest
     @ValueSource(strings = {"st1", "st2"})
     void termsLeapWhenOnlyOneMemoryIsLeft(final String victim) {
-        final SimCluster town = new SimCluster(Place.coastline(), 5).open();
-        final long before =
-                Leadership.of(town.node("ed2").node().held().get(ItemId.TENURE)).term();
-        town.node("sh1").kill();
-        town.loseDisk(victim, 500);
-        town.start("sh1");
-        town.run(15_000);
-        assertTrue(count(town, "RESUMED") > 0);
-        town.kill(town.boss(), 0);
-        town.run(9000);
-        assertTrue(
-                Leadership.of(town.node("ed1").node().held().get(ItemId.TENURE)).term() >= before + Tenure.LEAP);
-        assertTrue(town.node("sh3").node().holder().count() > 0);
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), 5).open();
+        final long before = Leadership.of(cluster.node("ed2").node().items().get(ItemId.LEADERSHIP))
+                .term();
+        cluster.node("sh1").kill();
+        cluster.loseDisk(victim, 500);
+        cluster.start("sh1");
+        cluster.run(15_000);
+        assertTrue(count(cluster, "RESUMED") > 0);
+        cluster.kill(cluster.boss(), 0);
+        cluster.run(9000);
+        assertTrue(Leadership.of(cluster.node("ed1").node().items().get(ItemId.LEADERSHIP))
+                        .term()
+                >= before + LeaderElection.TERM_LEAP);
+        assertTrue(cluster.node("sh3").node().leaseHolder().heldCount() > 0);
     }
 
     /** An acting store that stops in order gives its tenure back, even in the millisecond in which it sends a renewal. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void aStoppingAuthorityIsFollowedAtOnce(final long before) {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 2).open();
-        town.itemOperator().stop();
-        town.run(3000);
-        final String boss = town.boss();
-        final long last = town.log().rows().stream()
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 2).open();
+        cluster.itemOperator().stop();
+        cluster.run(3000);
+        final String boss = cluster.boss();
+        final long last = cluster.log().rows().stream()
                 .filter(r -> "ACCEPTED".equals(r.get("name")) && "TENURE/tenure".equals(r.get("item")))
                 .mapToLong(r -> ((Number) r.get("t")).longValue())
                 .max()
                 .orElseThrow();
-        town.run(last + 400 - before - town.world().now());
-        final long from = town.world().now();
-        town.restart(boss, 6000);
-        town.run(1000);
-        final long won = town.log().rows().stream()
+        cluster.run(last + 400 - before - cluster.world().now());
+        final long from = cluster.world().now();
+        cluster.restart(boss, 6000);
+        cluster.run(1000);
+        final long won = cluster.log().rows().stream()
                 .filter(r -> "TENURE_WON".equals(r.get("name")))
                 .mapToLong(r -> ((Number) r.get("t")).longValue())
                 .filter(t -> t >= from)
                 .min()
                 .orElse(Long.MAX_VALUE);
         assertTrue(won <= from + 600, "taken after " + (won - from) + " ms");
-        assertFalse(town.boss().equals(boss));
+        assertFalse(cluster.boss().equals(boss));
     }
 
     /** A store that comes back empty beside electors with memory is rebuilt from a majority, and nothing leaps. */
     @Test
     void anEmptyStoreAmongElectorsWithMemoryIsNoResuming() {
-        final SimCluster town = new SimCluster(Place.coastline(), 4).open();
-        town.loseDisk("st2", 1000);
-        town.run(6000);
-        assertTrue(town.node("st2").node().elector().full());
-        assertEquals(0, count(town, "RESUMED"));
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), 4).open();
+        cluster.loseDisk("st2", 1000);
+        cluster.run(6000);
+        assertTrue(cluster.node("st2").node().acceptor().hasState());
+        assertEquals(0, count(cluster, "RESUMED"));
     }
 
     /** The only memory left belongs to an elector without a disk: two disks are gone, and an operator must say so. */
     @Test
     void aMemoryWithoutADiskIsNotResumedFrom() {
-        final SimCluster town = new SimCluster(Place.coastline(), 7).open();
-        town.loseDisk("st1", 500);
-        town.loseDisk("st2", 700);
-        town.run(10_000);
-        assertEquals(0, count(town, "RESUMED"));
-        assertFalse(town.node("st1").node().elector().full());
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), 7).open();
+        cluster.loseDisk("st1", 500);
+        cluster.loseDisk("st2", 700);
+        cluster.run(10_000);
+        assertEquals(0, count(cluster, "RESUMED"));
+        assertFalse(cluster.node("st1").node().acceptor().hasState());
     }
 
     /** What the surviving store had missed is taken up from any node that still holds it. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void whatOnlyAnEdgeStillHoldsIsTakenUp(final long seed) {
-        final SimCluster town = new SimCluster(Place.coastline(), seed).open();
-        town.cut(List.of("st2"), 3000);
-        town.run(1000);
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), seed).open();
+        cluster.cut(List.of("st2"), 3000);
+        cluster.run(1000);
         final List<Integer> said = new ArrayList<>();
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().clerk().put(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
-        town.run(1950);
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
+                        .node()
+                        .configurationService()
+                        .putItem(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
+        cluster.run(1950);
         assertEquals(List.of(200), said);
-        town.kill("sh1", 300);
-        town.loseDisk("st1", 300);
-        town.run(9000);
-        town.nodes().keySet().forEach(n -> assertEquals(1, ver(town, n, ROUTE), n));
+        cluster.kill("sh1", 300);
+        cluster.loseDisk("st1", 300);
+        cluster.run(9000);
+        cluster.nodes().keySet().forEach(n -> assertEquals(1, ver(cluster, n, ROUTE), n));
     }
 
     /** A write waits for a stalled store once, for a stated time, and says so. */
     @Test
     void aStalledStoreHoldsUpAnswersForItsStatedTimeAndIsToldOf() {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 3).open();
-        town.itemOperator().stop();
-        town.run(2000);
-        town.stall("st2", 5000);
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 3).open();
+        cluster.itemOperator().stop();
+        cluster.run(2000);
+        cluster.stall("st2", 5000);
         final List<Long> took = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            final long from = town.world().now();
-            final ItemId id = new ItemId(Kind.ROUTE, "x" + i);
-            final byte[] text = Json.text(
-                            Log.row("prefix", "/x" + i + "/", "service", "stock", "mode", "cached", "lifetimeMs", 5))
+            final long from = cluster.world().now();
+            final ItemId id = new ItemId(ItemKind.ROUTE, "x" + i);
+            final byte[] text = Json.write(
+                            RunLog.row("prefix", "/x" + i + "/", "service", "stock", "mode", "cached", "lifetimeMs", 5))
                     .getBytes();
-            town.node("ed1")
-                    .post(() -> town.node("ed1")
+            cluster.node("ed1")
+                    .execute(() -> cluster.node("ed1")
                             .node()
-                            .clerk()
-                            .put(
+                            .configurationService()
+                            .putItem(
                                     id,
                                     text,
                                     0,
                                     "w",
                                     s -> took.add(
-                                            s.status() == 200 ? town.world().now() - from : -1)));
-            town.run(900);
+                                            s.status() == 200 ? cluster.world().now() - from : -1)));
+            cluster.run(900);
         }
         assertTrue(took.get(0) >= 400 && took.get(0) <= 460, took.toString());
         assertTrue(took.get(1) <= 30 && took.get(2) <= 30, took.toString());
-        assertEquals(1, town.node("ed1").node().stores().silent().size());
+        assertEquals(1, cluster.node("ed1").node().storeHealth().silent().size());
         assertEquals(
                 1,
-                town.log().rows().stream()
+                cluster.log().rows().stream()
                         .filter(r -> "STORE_SILENT".equals(r.get("name")) && "ed1".equals(r.get("node")))
                         .count());
-        town.run(6000);
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().clerk().delete(new ItemId(Kind.ROUTE, "x0"), 1, "d", s -> {}));
-        town.run(1000);
-        assertEquals(0, town.node("ed1").node().stores().silent().size());
+        cluster.run(6000);
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
+                        .node()
+                        .configurationService()
+                        .deleteItem(new ItemId(ItemKind.ROUTE, "x0"), 1, "d", s -> {}));
+        cluster.run(1000);
+        assertEquals(0, cluster.node("ed1").node().storeHealth().silent().size());
     }
 
     /** What a full disk could not take is owed to it: once there is room it stands there, and the other disk may go. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void whatAFullDiskMissedIsMadeUpFor(final long seed) {
-        final SimCluster town = new SimCluster(Place.coastline(), seed).open();
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), seed).open();
         final String poor = seed % 2 == 0 ? "st1" : "st2";
-        town.full(poor, 2500);
-        town.run(1000);
+        cluster.full(poor, 2500);
+        cluster.run(1000);
         final List<Integer> said = new ArrayList<>();
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().clerk().put(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
-        town.run(5000);
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
+                        .node()
+                        .configurationService()
+                        .putItem(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
+        cluster.run(5000);
         assertEquals(List.of(200), said);
-        assertTrue(town.node(poor).disk().has("e/" + ROUTE.text()));
-        town.blackout(List.of(poor.equals("st1") ? "st2" : "st1"), 1000);
-        town.run(15_000);
-        town.nodes().keySet().forEach(n -> assertEquals(1, ver(town, n, ROUTE), n));
+        assertTrue(cluster.node(poor).disk().has("e/" + ROUTE.text()));
+        cluster.blackout(List.of(poor.equals("st1") ? "st2" : "st1"), 1000);
+        cluster.run(15_000);
+        cluster.nodes().keySet().forEach(n -> assertEquals(1, ver(cluster, n, ROUTE), n));
     }
 
     /** While both are heard from, what was answered stands at both stores. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void anAnsweredWriteStandsAtBothStores(final long seed) {
-        final SimCluster town = new SimCluster(Place.coastline(), seed).open();
-        town.net().slow(60);
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), seed).open();
+        cluster.net().slow(60);
         final List<String> seen = new ArrayList<>();
         IntStream.range(0, 10).forEach(i -> {
-            final ItemId id = new ItemId(Kind.ROUTE, "x" + i);
-            town.stall(i % 2 == 0 ? "st1" : "st2", 250);
-            final byte[] text = Json.text(
-                            Log.row("prefix", "/x" + i + "/", "service", "listing", "mode", "cached", "lifetimeMs", 5))
+            final ItemId id = new ItemId(ItemKind.ROUTE, "x" + i);
+            cluster.stall(i % 2 == 0 ? "st1" : "st2", 250);
+            final byte[] text = Json.write(RunLog.row(
+                            "prefix", "/x" + i + "/", "service", "listing", "mode", "cached", "lifetimeMs", 5))
                     .getBytes();
-            town.node("ed" + (1 + i % 9))
-                    .post(() -> town.node("ed" + (1 + i % 9))
+            cluster.node("ed" + (1 + i % 9))
+                    .execute(() -> cluster.node("ed" + (1 + i % 9))
                             .node()
-                            .clerk()
-                            .put(
+                            .configurationService()
+                            .putItem(
                                     id,
                                     text,
                                     0,
                                     "w",
                                     s -> seen.add(s.status() + " "
-                                            + town.node("st1").disk().has("e/ROUTE/x" + i) + " "
-                                            + town.node("st2").disk().has("e/ROUTE/x" + i))));
-            town.run(700);
+                                            + cluster.node("st1").disk().has("e/ROUTE/x" + i) + " "
+                                            + cluster.node("st2").disk().has("e/ROUTE/x" + i))));
+            cluster.run(700);
         });
         assertEquals(10, seen.size());
         assertEquals(List.of("200 true true"), seen.stream().distinct().toList());
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldDayTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.rowanvalve.testkit.judge.Judge;
 import org.rowanvalve.testkit.judge.Verdict;
-import org.rowanvalve.testkit.sim.ScriptRunner;
+import org.rowanvalve.testkit.scenario.Deployment;
+import org.rowanvalve.testkit.scenario.Scenario;
+import org.rowanvalve.testkit.scenario.ScenarioGenerator;
+import org.rowanvalve.testkit.sim.ScenarioRunner;
 
 /** Whole days of troubles of the places whose shields vote, from fixed seeds. */
 class ShieldDayTest {
@@ -38,13 +41,14 @@
         "coastline-six,3"
     })
     void aDayKeepsEveryRule(final String place, final long seed) {
-        final ScriptRunner play = new ScriptRunner(DayDraw.day(Place.of(place), seed, COUNT, 3000), seed);
+        final ScenarioRunner play =
+                new ScenarioRunner(ScenarioGenerator.day(Deployment.of(place), seed, COUNT, 3000), seed);
         final Judge judge = new Judge(play.run());
         assertTrue(judge.clean(), judge.text(3));
         assertEquals(List.of(), play.missed());
         judge.verdicts().stream()
-                .filter(v -> v.rule() != NO_RULE)
-                .forEach(v -> MET.merge(place + " rule " + v.rule(), v.checked(), Long::sum));
+                .filter(verdict -> verdict.rule() != NO_RULE)
+                .forEach(verdict -> MET.merge(place + " rule " + verdict.rule(), verdict.checked(), Long::sum));
         System.out.println(place + " " + seed + "\n"
                 + String.join("\n", judge.verdicts().stream().map(Verdict::line).toList()));
     }
@@ -54,17 +58,19 @@
         assertEquals(
                 List.of(),
                 MET.entrySet().stream()
-                        .filter(e -> e.getValue() == 0)
+                        .filter(entry -> entry.getValue() == 0)
                         .map(Map.Entry::getKey)
                         .toList());
     }
 
     @Test
     void theseDaysHoldEveryTrouble() {
-        for (final Place place : List.of(Place.kilimanjaroShields(), Place.coastlineShields(), Place.coastlineSix())) {
+        for (final Deployment deployment :
+                List.of(Deployment.kilimanjaroShields(), Deployment.coastlineShields(), Deployment.coastlineSix())) {
             final Set<String> seen = new TreeSet<>();
-            SEEDS.forEach(s -> DayDraw.day(place, s, COUNT, 3000).steps().forEach(x -> seen.add(x.trouble())));
-            assertEquals(new TreeSet<>(Script.SHIELDS), seen, place.name());
+            SEEDS.forEach(s ->
+                    ScenarioGenerator.day(deployment, s, COUNT, 3000).steps().forEach(x -> seen.add(x.trouble())));
+            assertEquals(new TreeSet<>(Scenario.SHIELDS), seen, deployment.name());
         }
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldRunTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldRunTest.java
@@ -16,48 +16,53 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.Ballot;
-import org.rowanvalve.common.Item;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.data.Answer;
-import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.common.message.AcceptRequest;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.PrepareRequest;
+import org.rowanvalve.common.message.RejectedResponse;
+import org.rowanvalve.common.model.Ballot;
+import org.rowanvalve.common.model.Item;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.data.request.ClientRequest;
+import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 import org.rowanvalve.testkit.sim.SimNode;
 
 /** Networks without stores: three shields vote, each with a disk, and operators state versions of their own. */
 class ShieldRunTest {
-    private static final ItemId ROUTE = new ItemId(Kind.ROUTE, "more");
+    private static final ItemId ROUTE = new ItemId(ItemKind.ROUTE, "more");
     private static final List<String> ELECTORS = List.of("sh1", "sh2", "sh3");
 
-    private static SimCluster quiet(final Place place, final long seed) {
-        final SimCluster town = new SimCluster(place, seed).open();
-        town.orderOperator().stop();
-        return town;
+    private static SimCluster quiet(final Deployment deployment, final long seed) {
+        final SimCluster cluster = new SimCluster(deployment, seed).open();
+        cluster.orderOperator().stop();
+        return cluster;
     }
 
-    private static Place place(final long seed) {
-        return seed % 2 == 0 ? Place.coastlineShields() : Place.kilimanjaroShields();
+    private static Deployment place(final long seed) {
+        return seed % 2 == 0 ? Deployment.coastlineShields() : Deployment.kilimanjaroShields();
     }
 
-    private static String patch(final Place place, final long ver, final String note) {
-        return Json.text(Map.of(
+    private static String patch(final Deployment deployment, final long ver, final String note) {
+        return Json.write(Map.of(
                 "set",
                 Map.of(
                         "routes",
                         Map.of(
                                 ROUTE.name(),
-                                Log.row(
+                                RunLog.row(
                                         "host",
                                         "shop.example",
                                         "prefix",
                                         "/more/",
                                         "service",
-                                        place.kin().get(0).service(),
+                                        deployment.kin().get(0).service(),
                                         "mode",
                                         "cached",
                                         "lifetimeMs",
@@ -71,34 +76,35 @@
     }
 
     private static String drop(final long ver) {
-        return Json.text(Map.of("drop", Map.of("routes", Map.of(ROUTE.name(), ver))));
+        return Json.write(Map.of("drop", Map.of("routes", Map.of(ROUTE.name(), ver))));
     }
 
-    private static void state(final SimCluster town, final String at, final String text, final List<Integer> said) {
-        final SimNode n = town.node(at);
-        n.post(() -> n.node().orders().patch(text.getBytes(StandardCharsets.UTF_8), s -> said.add(s.status())));
+    private static void state(final SimCluster cluster, final String at, final String text, final List<Integer> said) {
+        final SimNode node = cluster.node(at);
+        node.execute(() ->
+                node.node().updateService().apply(text.getBytes(StandardCharsets.UTF_8), s -> said.add(s.status())));
     }
 
     /** Version and note of the route at every node. */
-    private static Set<String> seen(final SimCluster town) {
+    private static Set<String> seen(final SimCluster cluster) {
         final Set<String> all = new TreeSet<>();
-        town.nodes().values().forEach(n -> {
-            final Item i = n.node().held().get(ROUTE);
-            all.add(i.ver().n() + " "
-                    + (i.live() ? Json.read(i.body(), Map.class).get("note") : "gone"));
+        cluster.nodes().values().forEach(node -> {
+            final Item item = node.node().items().get(ROUTE);
+            all.add(item.version().number() + " "
+                    + (item.exists() ? Json.read(item.body(), Map.class).get("note") : "gone"));
         });
         return all;
     }
 
     /** All power lost: what stands afterwards stood on disks. */
-    private static void restarted(final SimCluster town) {
-        List.copyOf(town.nodes().keySet()).forEach(n -> town.power(n, 1000));
-        town.run(9000);
+    private static void restarted(final SimCluster cluster) {
+        List.copyOf(cluster.nodes().keySet()).forEach(n -> cluster.power(n, 1000));
+        cluster.run(9000);
     }
 
-    private static Msg told(final SimNode n, final Msg msg) {
-        final Msg[] got = new Msg[1];
-        n.node().take(NodeId.of("sh3"), msg, m -> got[0] = m);
+    private static Message told(final SimNode node, final Message msg) {
+        final Message[] got = new Message[1];
+        node.node().handle(NodeId.of("sh3"), msg, m -> got[0] = m);
         return got[0];
     }
 
@@ -107,30 +113,30 @@
     void anElectorWhoseDiskWasLostDoesNotVoteBeforeItIsRebuilt(final String blank) {
         final String down = blank.equals("sh1") ? "sh2" : "sh1";
         final String left = blank.equals("sh3") ? "sh2" : "sh3";
-        final SimCluster town = quiet(place(blank.hashCode()), 3);
-        town.node(down).kill();
-        town.loseDisk(blank, 500);
-        town.run(3000);
+        final SimCluster cluster = quiet(place(blank.hashCode()), 3);
+        cluster.node(down).kill();
+        cluster.loseDisk(blank, 500);
+        cluster.run(3000);
         final List<Integer> said = new ArrayList<>();
-        state(town, left, patch(town.place(), 9, "x"), said);
+        state(cluster, left, patch(cluster.place(), 9, "x"), said);
         for (int i = 0; i < 20; i++) {
-            town.run(300);
-            assertFalse(town.node(blank).node().elector().full());
-            final Msg p = told(town.node(blank), new Msg.Prepare(0, ROUTE, new Ballot(1_000_000, "z")));
-            final Msg a = told(
-                    town.node(blank),
-                    new Msg.Accept(
-                            0, new Ballot(1_000_000, "z"), Item.none(ROUTE).next("{}", "z"), null));
-            assertEquals(List.of(new Msg.Nay("amnesia"), new Msg.Nay("amnesia")), List.of(p, a));
+            cluster.run(300);
+            assertFalse(cluster.node(blank).node().acceptor().hasState());
+            final Message p = told(cluster.node(blank), new PrepareRequest(0, ROUTE, new Ballot(1_000_000, "z")));
+            final Message a = told(
+                    cluster.node(blank),
+                    new AcceptRequest(
+                            0, new Ballot(1_000_000, "z"), Item.none(ROUTE).successor("{}", "z"), null));
+            assertEquals(List.of(new RejectedResponse("amnesia"), new RejectedResponse("amnesia")), List.of(p, a));
         }
         assertFalse(said.contains(200), said.toString());
-        town.start(down);
-        town.run(4000);
-        assertTrue(town.node(blank).node().elector().full());
-        state(town, blank, patch(town.place(), 9, "y"), said);
-        town.run(2000);
+        cluster.start(down);
+        cluster.run(4000);
+        assertTrue(cluster.node(blank).node().acceptor().hasState());
+        state(cluster, blank, patch(cluster.place(), 9, "y"), said);
+        cluster.run(2000);
         assertEquals(200, said.get(said.size() - 1));
-        assertEquals(1, seen(town).size());
+        assertEquals(1, seen(cluster).size());
     }
 
     private static Stream<Arguments> losses() {
@@ -151,16 +157,16 @@
     @MethodSource("losses")
     void anyOneDiskLostRightAfterTheAnswerLosesNothing(
             final String who, final String power, final boolean first, final long seed) {
-        final SimCluster town = quiet(place(seed), seed);
-        town.net().slow(seed % 3 == 0 ? 80 : 0);
-        town.run(1000);
-        final String victim = who.equals("authority") ? town.boss() : who;
+        final SimCluster cluster = quiet(place(seed), seed);
+        cluster.net().slow(seed % 3 == 0 ? 80 : 0);
+        cluster.run(1000);
+        final String victim = who.equals("authority") ? cluster.boss() : who;
         final List<Integer> disks = new ArrayList<>();
-        final Place.EdgeRouting w = town.place().ways().stream()
+        final Deployment.EdgeRouting w = cluster.place().ways().stream()
                 .filter(x -> x.mode().equals("once"))
                 .findFirst()
                 .orElseThrow();
-        final ClientRequest ask = new ClientRequest(
+        final ClientRequest request = new ClientRequest(
                 "POST",
                 w.host(),
                 w.prefix() + "1",
@@ -179,30 +185,30 @@
             }
             final List<String> gone = new ArrayList<>(
                     power.equals("all")
-                            ? town.nodes().keySet()
+                            ? cluster.nodes().keySet()
                             : power.equals("shields")
-                                    ? town.nodes().keySet().stream()
+                                    ? cluster.nodes().keySet().stream()
                                             .filter(n -> n.startsWith("sh"))
                                             .toList()
                                     : List.of(victim));
-            gone.forEach(n -> town.power(n, n.equals(victim) ? first ? 300 : 2500 : 900 + seed * 37 % 500));
-            town.node(victim).disk().lose();
+            gone.forEach(n -> cluster.power(n, n.equals(victim) ? first ? 300 : 2500 : 900 + seed * 37 % 500));
+            cluster.node(victim).disk().lose();
         };
-        town.node("ed1")
-                .post(() -> town.node("ed1").node().edge().take(ask, a -> {
-                    bodies.add(a.fate() + new String(a.body(), StandardCharsets.UTF_8));
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1").node().edge().handle(request, response -> {
+                    bodies.add(response.fate() + new String(response.body(), StandardCharsets.UTF_8));
                     lose.run();
                 }));
-        final SimNode at = town.node("sh4");
-        final Map<String, Object> sent = Log.row(
+        final SimNode at = cluster.node("sh4");
+        final Map<String, Object> sent = RunLog.row(
                 "log",
                 "op",
                 "what",
                 "sent",
                 "t",
-                town.world().now(),
+                cluster.world().now(),
                 "end",
-                town.world().now(),
+                cluster.world().now(),
                 "item",
                 ROUTE.text(),
                 "version",
@@ -211,31 +217,36 @@
                 "x",
                 "status",
                 0);
-        town.log().add(sent);
-        at.post(() -> at.node().orders().patch(patch(town.place(), 9, "x").getBytes(StandardCharsets.UTF_8), s -> {
-            final Map<String, Object> put = new LinkedHashMap<>(sent);
-            put.putAll(Log.row("what", "put", "end", town.world().now(), "status", s.status()));
-            town.log().add(put);
-            assertEquals(200, s.status());
-            disks.add((int) ELECTORS.stream()
-                    .filter(e -> town.node(e).disk().has("e/" + ROUTE.text()))
-                    .count());
-            lose.run();
-        }));
-        town.run(20_000);
+        cluster.log().add(sent);
+        at.execute(() -> at.node()
+                .updateService()
+                .apply(patch(cluster.place(), 9, "x").getBytes(StandardCharsets.UTF_8), s -> {
+                    final Map<String, Object> put = new LinkedHashMap<>(sent);
+                    put.putAll(RunLog.row("what", "put", "end", cluster.world().now(), "status", s.status()));
+                    cluster.log().add(put);
+                    assertEquals(200, s.status());
+                    disks.add((int) ELECTORS.stream()
+                            .filter(e -> cluster.node(e).disk().has("e/" + ROUTE.text()))
+                            .count());
+                    lose.run();
+                }));
+        cluster.run(20_000);
         assertTrue(disks.size() == 1 && disks.get(0) >= 2, "on " + disks + " disks when it was answered");
-        assertEquals(Set.of("9 x"), seen(town));
-        ELECTORS.forEach(e -> assertTrue(town.node(e).node().elector().full(), e));
-        town.node("ed2")
-                .post(() -> town.node("ed2")
+        assertEquals(Set.of("9 x"), seen(cluster));
+        ELECTORS.forEach(e -> assertTrue(cluster.node(e).node().acceptor().hasState(), e));
+        cluster.node("ed2")
+                .execute(() -> cluster.node("ed2")
                         .node()
                         .edge()
-                        .take(ask, a -> bodies.add(a.fate() + new String(a.body(), StandardCharsets.UTF_8))));
-        town.run(3000);
+                        .handle(
+                                request,
+                                response -> bodies.add(
+                                        response.fate() + new String(response.body(), StandardCharsets.UTF_8))));
+        cluster.run(3000);
         assertEquals(2, bodies.size());
-        assertTrue(bodies.get(0).startsWith(Answer.DONE), bodies.get(0));
+        assertTrue(bodies.get(0).startsWith(ClientResponse.DONE), bodies.get(0));
         assertEquals(bodies.get(0), bodies.get(1));
-        final Judge judge = new Judge(town.close());
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
         assertTrue(judge.rule(13).checked() > 0);
     }
@@ -243,28 +254,28 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void ofTwoOperatorsWithOneVersionOneWinsEverywhere(final long seed) {
-        final SimCluster town = quiet(place(seed), seed);
-        town.net().slow(seed % 3 * 40);
+        final SimCluster cluster = quiet(place(seed), seed);
+        cluster.net().slow(seed % 3 * 40);
         if (seed > 4) {
-            town.node(ELECTORS.get((int) seed % 3)).kill();
+            cluster.node(ELECTORS.get((int) seed % 3)).kill();
         }
-        final List<String> up = town.nodes().keySet().stream()
-                .filter(n -> n.startsWith("sh") && town.node(n).alive())
+        final List<String> up = cluster.nodes().keySet().stream()
+                .filter(n -> n.startsWith("sh") && cluster.node(n).alive())
                 .toList();
         final List<Integer> said = new ArrayList<>();
         for (int i = 1; i <= 5; i++) {
-            state(town, up.get(0), patch(town.place(), 7 + i, "left" + i), said);
-            state(town, up.get(1), patch(town.place(), 7 + i, "right" + i), said);
-            town.run(4000);
+            state(cluster, up.get(0), patch(cluster.place(), 7 + i, "left" + i), said);
+            state(cluster, up.get(1), patch(cluster.place(), 7 + i, "right" + i), said);
+            cluster.run(4000);
             assertEquals(i, said.stream().filter(s -> s == 200).count(), "one of them has the number");
             assertEquals(i, said.stream().filter(s -> s == 409).count(), "the other hears so");
         }
-        ELECTORS.forEach(town::start);
-        town.run(5000);
-        assertEquals(1, seen(town).size(), seen(town).toString());
-        final Set<String> before = seen(town);
-        restarted(town);
-        assertEquals(before, seen(town), "on the disks");
+        ELECTORS.forEach(cluster::start);
+        cluster.run(5000);
+        assertEquals(1, seen(cluster).size(), seen(cluster).toString());
+        final Set<String> before = seen(cluster);
+        restarted(cluster);
+        assertEquals(before, seen(cluster), "on the disks");
         assertTrue(before.iterator().next().matches("12 (left|right)5"));
     }
 
@@ -272,19 +283,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void twoOperatorsAtOnceAreBothAnsweredOverSlowLinks(final long seed) {
-        final SimCluster town = quiet(place(seed), seed);
-        town.crowd().factor(0.05);
-        town.net().slow(120);
-        town.node(ELECTORS.get((int) seed % 3)).kill();
-        town.run(3000);
-        final List<String> up = town.nodes().keySet().stream()
-                .filter(n -> n.startsWith("sh") && town.node(n).alive())
+        final SimCluster cluster = quiet(place(seed), seed);
+        cluster.crowd().factor(0.05);
+        cluster.net().slow(120);
+        cluster.node(ELECTORS.get((int) seed % 3)).kill();
+        cluster.run(3000);
+        final List<String> up = cluster.nodes().keySet().stream()
+                .filter(n -> n.startsWith("sh") && cluster.node(n).alive())
                 .toList();
         final List<Integer> said = new ArrayList<>();
         for (int i = 1; i <= 6; i++) {
-            state(town, up.get(0), patch(town.place(), 7 + i, "left" + i), said);
-            state(town, up.get(1), patch(town.place(), 7 + i, "right" + i), said);
-            town.run(3500);
+            state(cluster, up.get(0), patch(cluster.place(), 7 + i, "left" + i), said);
+            state(cluster, up.get(1), patch(cluster.place(), 7 + i, "right" + i), said);
+            cluster.run(3500);
         }
         assertEquals(6, said.stream().filter(s -> s == 200).count(), said.toString());
         assertEquals(6, said.stream().filter(s -> s == 409).count(), said.toString());
@@ -295,49 +306,49 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void anOlderVersionThatComesLateAltersNothing(final long seed) {
-        final SimCluster town = quiet(place(seed), seed);
+        final SimCluster cluster = quiet(place(seed), seed);
         final List<Integer> said = new ArrayList<>();
-        state(town, "sh1", patch(town.place(), 20, "new"), said);
-        town.run(1000);
-        state(town, "sh2", patch(town.place(), 19, "old"), said);
-        town.run(1000);
-        assertEquals(Set.of("20 new"), seen(town));
-        state(town, "sh3", drop(25), said);
-        town.run(1000);
-        town.place().disks().forEach(n -> town.kill(n, 700));
-        town.run(5000);
-        state(town, "sh4", patch(town.place(), 24, "old"), said);
-        state(town, "sh2", drop(22), said);
-        town.run(2000);
-        assertEquals(Set.of("25 gone"), seen(town));
+        state(cluster, "sh1", patch(cluster.place(), 20, "new"), said);
+        cluster.run(1000);
+        state(cluster, "sh2", patch(cluster.place(), 19, "old"), said);
+        cluster.run(1000);
+        assertEquals(Set.of("20 new"), seen(cluster));
+        state(cluster, "sh3", drop(25), said);
+        cluster.run(1000);
+        cluster.place().disks().forEach(n -> cluster.kill(n, 700));
+        cluster.run(5000);
+        state(cluster, "sh4", patch(cluster.place(), 24, "old"), said);
+        state(cluster, "sh2", drop(22), said);
+        cluster.run(2000);
+        assertEquals(Set.of("25 gone"), seen(cluster));
         assertEquals(List.of(200, 200, 200, 200, 200), said);
-        restarted(town);
-        assertEquals(Set.of("25 gone"), seen(town), "on the disks");
+        restarted(cluster);
+        assertEquals(Set.of("25 gone"), seen(cluster), "on the disks");
     }
 
     /** All electors lose power while one disk is lost, and the one that missed the write comes back first. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void anElectorThatMissedAWriteDoesNotSpeakForItAlone(final long seed) {
-        final SimCluster town = quiet(place(seed), seed);
+        final SimCluster cluster = quiet(place(seed), seed);
         final String away = ELECTORS.get((int) (seed % 3));
         final String victim = ELECTORS.get((int) ((seed + 1) % 3));
         final String other = ELECTORS.get((int) ((seed + 2) % 3));
-        town.kill(away, 0);
-        town.run(4000);
+        cluster.kill(away, 0);
+        cluster.run(4000);
         final List<Integer> said = new ArrayList<>();
-        state(town, other, patch(town.place(), 9, "x"), said);
-        town.run(1000);
+        state(cluster, other, patch(cluster.place(), 9, "x"), said);
+        cluster.run(1000);
         assertEquals(List.of(200), said);
-        List.copyOf(town.nodes().keySet()).stream()
-                .filter(n -> town.node(n).alive())
-                .forEach(n -> town.power(n, 0));
-        town.node(victim).disk().lose();
-        town.nodes().keySet().stream().filter(n -> !n.equals(other)).forEach(town::start);
-        town.run(6000);
-        assertFalse(town.node(victim).node().elector().full());
-        town.start(other);
-        town.run(9000);
-        assertEquals(Set.of("9 x"), seen(town));
+        List.copyOf(cluster.nodes().keySet()).stream()
+                .filter(n -> cluster.node(n).alive())
+                .forEach(n -> cluster.power(n, 0));
+        cluster.node(victim).disk().lose();
+        cluster.nodes().keySet().stream().filter(n -> !n.equals(other)).forEach(cluster::start);
+        cluster.run(6000);
+        assertFalse(cluster.node(victim).node().acceptor().hasState());
+        cluster.start(other);
+        cluster.run(9000);
+        assertEquals(Set.of("9 x"), seen(cluster));
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
@@ -11,52 +11,63 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Origin;
-import org.rowanvalve.control.Purge;
-import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.json.Json;
+import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.origin.StandInBackend;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Networks without stores: what origins, callers and purges see of them. */
 class ShieldTrafficTest {
-    private static SimCluster quiet(final Place place, final long seed) {
-        final SimCluster town = new SimCluster(place, seed).open();
-        town.orderOperator().stop();
-        return town;
+    private static SimCluster quiet(final Deployment deployment, final long seed) {
+        final SimCluster cluster = new SimCluster(deployment, seed).open();
+        cluster.orderOperator().stop();
+        return cluster;
     }
 
-    private static Place place(final long seed) {
-        return seed % 2 == 0 ? Place.coastlineShields() : Place.kilimanjaroShields();
+    private static Deployment place(final long seed) {
+        return seed % 2 == 0 ? Deployment.coastlineShields() : Deployment.kilimanjaroShields();
     }
 
     /** A beat that comes late does not bring back an origin that is leaving or has ended. */
     @Test
     void aLateBeatBringsNoOriginBack() {
-        final SimCluster town = quiet(Place.kilimanjaroShields(), 2);
-        final String service = town.place().kin().get(0).service();
+        final SimCluster cluster = quiet(Deployment.kilimanjaroShields(), 2);
+        final String service = cluster.place().kin().get(0).service();
         final List<Integer> said = new ArrayList<>();
         final Origin ready = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, false, 4, "", 8, 0);
         final Origin out = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, true, 5, "", 8, 0);
         final Origin late = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, false, 6, "", 8, 0);
         final List<Runnable> steps = List.of(
-                () -> town.node("sh1").node().registry().beat("i-own", ready, s -> said.add(s.status())),
-                () -> town.node("sh2").node().registry().beat("i-own", out, s -> said.add(s.status())),
-                () -> town.node("sh3").node().registry().beat("i-own", ready, s -> said.add(s.status())),
-                () -> town.node("sh4").node().registry().beat("i-own", late, s -> said.add(s.status())),
-                () -> town.node("sh1").node().registry().end("i-own", s -> said.add(s.status())),
-                () -> town.node("sh2").node().registry().beat("i-own", late, s -> said.add(s.status())));
+                () -> cluster.node("sh1")
+                        .node()
+                        .originRegistry()
+                        .onHeartbeat("i-own", ready, s -> said.add(s.status())),
+                () -> cluster.node("sh2").node().originRegistry().onHeartbeat("i-own", out, s -> said.add(s.status())),
+                () -> cluster.node("sh3")
+                        .node()
+                        .originRegistry()
+                        .onHeartbeat("i-own", ready, s -> said.add(s.status())),
+                () -> cluster.node("sh4").node().originRegistry().onHeartbeat("i-own", late, s -> said.add(s.status())),
+                () -> cluster.node("sh1").node().originRegistry().onEnd("i-own", s -> said.add(s.status())),
+                () -> cluster.node("sh2")
+                        .node()
+                        .originRegistry()
+                        .onHeartbeat("i-own", late, s -> said.add(s.status())));
         for (int i = 0; i < steps.size(); i++) {
-            town.node("sh1").post(steps.get(i));
-            town.run(1000);
+            cluster.node("sh1").execute(steps.get(i));
+            cluster.run(1000);
             final boolean there = i == 0;
-            town.nodes()
+            cluster.nodes()
                     .values()
-                    .forEach(n -> assertEquals(
+                    .forEach(node -> assertEquals(
                             there,
-                            n.node().view().live(service, n.now()).keySet().stream()
+                            node.node().configuration().liveOrigins(service, node.now()).keySet().stream()
                                     .anyMatch(o -> o.name().equals("i-own")),
-                            n.id().text()));
+                            node.id().text()));
         }
         assertEquals(List.of(200, 200, 200, 200, 200, 200), said);
     }
@@ -65,21 +76,21 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aPurgeByTagOrPathEndsTheCopiesItNames(final boolean wide) {
-        final SimCluster town = quiet(Place.kilimanjaroShields(), 4);
-        town.crowd().factor(0.001);
-        town.run(3000);
-        final Place.EdgeRouting w = town.place().ways().stream()
+        final SimCluster cluster = quiet(Deployment.kilimanjaroShields(), 4);
+        cluster.crowd().factor(0.001);
+        cluster.run(3000);
+        final Deployment.EdgeRouting w = cluster.place().ways().stream()
                 .filter(x -> x.route().equals("catalogue"))
                 .findFirst()
                 .orElseThrow();
         final String path = w.prefix() + "78";
         final List<String> said = new ArrayList<>();
         final Runnable ask = () -> List.of("ed1", "ed2", "ed3")
-                .forEach(e -> town.node(e)
-                        .post(() -> town.node(e)
+                .forEach(e -> cluster.node(e)
+                        .execute(() -> cluster.node(e)
                                 .node()
                                 .edge()
-                                .take(
+                                .handle(
                                         new ClientRequest(
                                                 "GET",
                                                 w.host(),
@@ -91,26 +102,31 @@
                                                 1000,
                                                 null,
                                                 Map.of()),
-                                        a -> said.add(a.status() + " "
-                                                + Json.read(new String(a.body(), StandardCharsets.UTF_8), Map.class)
+                                        response -> said.add(response.status() + " "
+                                                + Json.read(
+                                                                new String(response.body(), StandardCharsets.UTF_8),
+                                                                Map.class)
                                                         .get("rev")))));
         ask.run();
-        town.run(500);
-        town.stock("shelf").change(path);
+        cluster.run(500);
+        cluster.stock("shelf").change(path);
         ask.run();
-        town.run(500);
+        cluster.run(500);
         final List<Integer> purged = new ArrayList<>();
         final Purge other = new Purge(null, path + "9", null, w.host(), null);
-        final Purge what =
-                wide ? new Purge(null, null, null, null, Stock.tag(path)) : new Purge(null, path, null, w.host(), null);
-        town.node("sh2").post(() -> town.node("sh2").node().orders().purge(other, s -> purged.add(s.status())));
-        town.run(1000);
+        final Purge what = wide
+                ? new Purge(null, null, null, null, StandInBackend.tag(path))
+                : new Purge(null, path, null, w.host(), null);
+        cluster.node("sh2")
+                .execute(() -> cluster.node("sh2").node().updateService().purge(other, s -> purged.add(s.status())));
+        cluster.run(1000);
         ask.run();
-        town.run(500);
-        town.node("sh2").post(() -> town.node("sh2").node().orders().purge(what, s -> purged.add(s.status())));
-        town.run(1000);
+        cluster.run(500);
+        cluster.node("sh2")
+                .execute(() -> cluster.node("sh2").node().updateService().purge(what, s -> purged.add(s.status())));
+        cluster.run(1000);
         ask.run();
-        town.run(500);
+        cluster.run(500);
         assertEquals(List.of(200, 200), purged);
         assertEquals(Set.of("200 1"), Set.copyOf(said.subList(0, 9)));
         assertEquals(Set.of("200 2"), Set.copyOf(said.subList(9, 12)));
@@ -120,11 +136,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void theCeilingHoldsForAllOriginsTogetherUnderASurge(final long seed) {
-        final SimCluster town = new SimCluster(place(seed), seed).open();
-        town.crowd().factor(5);
-        town.run(12_000);
-        town.crowd().factor(0.001);
-        final Judge judge = new Judge(town.close());
+        final SimCluster cluster = new SimCluster(place(seed), seed).open();
+        cluster.crowd().factor(5);
+        cluster.run(12_000);
+        cluster.crowd().factor(0.001);
+        final Judge judge = new Judge(cluster.close());
         assertEquals(List.of(), judge.rule(16).breaches());
         assertTrue(judge.rule(16).checked() > 500);
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/TroubleKindsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/TroubleKindsTest.java
@@ -14,23 +14,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.Finding;
-import org.rowanvalve.testkit.sim.ScriptRunner;
+import org.rowanvalve.common.model.ValidationError;
+import org.rowanvalve.testkit.scenario.Scenario;
+import org.rowanvalve.testkit.sim.ScenarioRunner;
 
 /** Each kind of trouble of places whose shields vote is brought about as the scenario file says. */
 class TroubleKindsTest {
     private static final String PLACE = "kilimanjaro-shields";
     private static final long TRAFFIC = 7000;
 
-    private static Script script(final long seconds, final String... steps) {
-        final List<Finding> faults = new ArrayList<>();
-        final Script s = Script.read(
+    private static Scenario script(final long seconds, final String... steps) {
+        final List<ValidationError> faults = new ArrayList<>();
+        final Scenario scenario = Scenario.read(
                 ("{\"name\": \"x\", \"place\": \"" + PLACE + "\", \"seconds\": " + seconds + ", \"steps\": ["
                                 + String.join(",", steps) + "]}")
                         .getBytes(StandardCharsets.UTF_8),
                 faults);
         assertEquals(List.of(), faults);
-        return s;
+        return scenario;
     }
 
     private static String step(
@@ -41,7 +42,7 @@
     }
 
     private static List<Map<String, Object>> play(final long seconds, final String... steps) {
-        final ScriptRunner runner = new ScriptRunner(script(seconds, steps), 3);
+        final ScenarioRunner runner = new ScenarioRunner(script(seconds, steps), 3);
         final List<Map<String, Object>> rows = runner.run();
         assertEquals(List.of(), runner.missed());
         return rows;
@@ -78,7 +79,7 @@
 
     @Test
     void aTroubleWhoseTurnNeverCameIsMissed() {
-        final ScriptRunner runner = new ScriptRunner(
+        final ScenarioRunner runner = new ScenarioRunner(
                 script(6, step(500, "kill", "sh1", 4000, "", 0), step(600, "kill", "sh2", 1000, "", 0)), 3);
         runner.run();
         assertEquals(1, runner.missed().size());
@@ -239,8 +240,8 @@
 
     @Test
     void faultsOfAScenarioAreToldBeforeAnythingStarts() {
-        final List<Finding> faults = new ArrayList<>();
-        Script.read(
+        final List<ValidationError> faults = new ArrayList<>();
+        Scenario.read(
                 ("{\"name\": \"x\", \"place\": \"" + PLACE + "\", \"seconds\": 9, \"steps\": ["
                                 + step(0, "core-cut", "ed1", 5, "one-way,loud", 0) + ","
                                 + step(0, "replace-core", "sh9", 5, "", 0) + ","
@@ -248,8 +249,8 @@
                         .getBytes(StandardCharsets.UTF_8),
                 faults);
         assertEquals(4, faults.size(), faults.toString());
-        final List<Finding> others = new ArrayList<>();
-        Script.read(
+        final List<ValidationError> others = new ArrayList<>();
+        Scenario.read(
                 "{\"name\": \"x\", \"place\": \"kilimanjaro\", \"seconds\": 9, \"steps\": [{\"at\": 0, \"ms\": 5, \"trouble\": \"core-cut\", \"who\": \"sh1\"}]}"
                         .getBytes(StandardCharsets.UTF_8),
                 others);
--- a/testkit/src/test/java/org/rowanvalve/testkit/VersionsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/VersionsTest.java
@@ -14,8 +14,9 @@
 import java.util.Set;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.NodeId;
+import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.testkit.judge.Judge;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
 /** Nodes of two versions in one network: one lacks the members that came last, the other says members unknown here. */
@@ -55,24 +56,24 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
     void twoVersionsKeepEveryRuleTogether(final long seed) {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), seed);
-        town.net().word(VersionsTest::older);
-        town.open();
-        town.run(5000);
-        town.kill("sh3", 2000);
-        town.run(9000);
-        town.kill(town.boss(), 3000);
-        town.run(9000);
-        town.kill("sh1", 1000);
-        town.run(6000);
-        final long asked = town.log().rows().stream()
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed);
+        cluster.net().word(VersionsTest::older);
+        cluster.open();
+        cluster.run(5000);
+        cluster.kill("sh3", 2000);
+        cluster.run(9000);
+        cluster.kill(cluster.boss(), 3000);
+        cluster.run(9000);
+        cluster.kill("sh1", 1000);
+        cluster.run(6000);
+        final long asked = cluster.log().rows().stream()
                 .filter(r -> "req".equals(r.get("log")))
                 .count();
-        final long done = town.log().rows().stream()
+        final long done = cluster.log().rows().stream()
                 .filter(r -> "req".equals(r.get("log")) && "done".equals(r.get("fate")))
                 .count();
         assertTrue(done > asked * 0.9, done + " of " + asked);
-        final Judge judge = new Judge(town.close());
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
         assertEquals(12, judge.verdicts().size());
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/WalkTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WalkThroughTest.java
@@ -17,16 +17,16 @@
 
 /** The README's walk-through, run as it stands, on addresses of its own. */
 @Isolated
-class WalkTest {
+class WalkThroughTest {
     @TempDir
     private Path dir;
 
     private String walk(final String page, final int net) throws Exception {
         final StringBuilder script = new StringBuilder("trap 'kill $(jobs -p) 2>/dev/null || true' EXIT\n");
-        final Matcher m =
+        final Matcher matcher =
                 Pattern.compile("```sh\n(.*?)```", Pattern.DOTALL).matcher(Files.readString(Path.of("..", page)));
-        while (m.find()) {
-            script.append(m.group(1));
+        while (matcher.find()) {
+            script.append(matcher.group(1));
         }
         final Path file = Files.writeString(dir.resolve("walk.sh"), script);
         final File out = dir.resolve("out").toFile();
@@ -40,13 +40,13 @@
                         "127." + (net + ProcessHandle.current().pid() % 50) + "."
                                 + ProcessHandle.current().pid() / 50 % 250);
         b.environment().put("RUN", dir.resolve("run").toString());
-        final Process p = b.start();
-        final boolean ended = p.waitFor(300, TimeUnit.SECONDS);
-        p.descendants().forEach(ProcessHandle::destroyForcibly);
-        p.destroyForcibly();
+        final Process process = b.start();
+        final boolean ended = process.waitFor(300, TimeUnit.SECONDS);
+        process.descendants().forEach(ProcessHandle::destroyForcibly);
+        process.destroyForcibly();
         final String text = Files.readString(out.toPath());
         assertTrue(ended, text);
-        assertEquals(0, p.exitValue(), text);
+        assertEquals(0, process.exitValue(), text);
         return text;
     }
 
--- a/testkit/src/test/java/org/rowanvalve/testkit/WorstTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WorstMomentTest.java
@@ -9,59 +9,62 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Kind;
-import org.rowanvalve.control.ApiResult;
-import org.rowanvalve.data.ClientRequest;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.control.operator.ApiResponse;
+import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.testkit.judge.Judge;
 import org.rowanvalve.testkit.judge.Verdict;
+import org.rowanvalve.testkit.log.RunLog;
+import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 import org.rowanvalve.testkit.sim.SimNode;
 
 /** Troubles put at the moment that is worst for one rule, swept over offsets and seeds. */
-class WorstTest {
-    private static void clean(final SimCluster town, final int rule) {
-        final Judge judge = new Judge(town.close());
+class WorstMomentTest {
+    private static void clean(final SimCluster cluster, final int rule) {
+        final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
-        final Verdict v = judge.rule(rule);
-        assertTrue(v.checked() > 0, v.line());
+        final Verdict verdict = judge.rule(rule);
+        assertTrue(verdict.checked() > 0, verdict.line());
     }
 
     /** Rules 8 and 4: a new circuit is asked who it is, the shield freezes, the origin leaves, the shield wakes. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void aFreezeDuringTheIdentityCheckSendsNothingToAnOriginThatLeft(final long seed) {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), seed).open();
-        town.run(1000);
-        town.net().slow(250);
-        town.origins().get("collect1").kill();
-        town.origins().get("collect2").kill();
-        town.origins().get("collect1").start();
-        town.run(600 + 60 * seed);
-        List.of("sh1", "sh2", "sh3", "sh4").forEach(n -> town.freeze(n, 4000));
-        town.origins().get("collect1").leave();
-        town.net().slow(0);
-        town.run(12_000);
-        clean(town, 8);
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed).open();
+        cluster.run(1000);
+        cluster.net().slow(250);
+        cluster.origins().get("collect1").kill();
+        cluster.origins().get("collect2").kill();
+        cluster.origins().get("collect1").start();
+        cluster.run(600 + 60 * seed);
+        List.of("sh1", "sh2", "sh3", "sh4").forEach(n -> cluster.freeze(n, 4000));
+        cluster.origins().get("collect1").leave();
+        cluster.net().slow(0);
+        cluster.run(12_000);
+        clean(cluster, 8);
     }
 
     private static ClientRequest post(final String key) {
         return new ClientRequest("POST", "/reserve/1", key, "{}".getBytes(), "application/json");
     }
 
-    private static void ask(final SimCluster town, final String edge, final ClientRequest ask, final List<String> got) {
-        final SimNode n = town.node(edge);
-        final long t = town.world().now();
-        n.post(() -> n.node().edge().take(ask, a -> {
-            got.add(a.fate());
-            town.log()
-                    .add(Log.row(
+    private static void ask(
+            final SimCluster cluster, final String edge, final ClientRequest request, final List<String> got) {
+        final SimNode node = cluster.node(edge);
+        final long t = cluster.world().now();
+        node.execute(() -> node.node().edge().handle(request, response -> {
+            got.add(response.fate());
+            cluster.log()
+                    .add(RunLog.row(
                             "log",
                             "req",
                             "t",
                             t,
                             "end",
-                            town.world().now(),
+                            cluster.world().now(),
                             "id",
                             got.size(),
                             "node",
@@ -69,23 +72,23 @@
                             "mode",
                             "once",
                             "path",
-                            ask.path(),
+                            request.path(),
                             "key",
-                            ask.key(),
+                            request.key(),
                             "status",
-                            a.status(),
+                            response.status(),
                             "fate",
-                            a.fate(),
+                            response.fate(),
                             "stamp",
-                            a.heads().get("rv-stamp"),
+                            response.headers().get("rv-stamp"),
                             "request",
-                            a.heads().get("rv-request"),
+                            response.headers().get("rv-request"),
                             "whole",
                             true,
                             "said",
-                            ask.path(),
+                            request.path(),
                             "saidKey",
-                            ask.key()));
+                            request.key()));
         }));
     }
 
@@ -107,51 +110,56 @@
     })
     void aKeyRunsOnceWhateverIsLostWheneverOnItsWay(final String who, final String what) {
         for (long off = 0; off < 8; off++) {
-            final SimCluster town = new SimCluster(Place.kilimanjaro(), 40 + off).open();
-            town.net().slow(12);
-            town.origins().values().forEach(o -> o.fault("none", 15));
+            final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 40 + off).open();
+            cluster.net().slow(12);
+            cluster.origins().values().forEach(o -> o.fault("none", 15));
             final String key = "aimed-" + off;
-            final int shard = org.rowanvalve.control.Plan.shard("reserve", "reserve", key, 32);
-            final String holder =
-                    town.node("ed1").node().view().plan().parts().get(shard).owner();
-            final String victim = who.equals("holder") ? holder : who.equals("authority") ? town.boss() : who;
+            final int shard = org.rowanvalve.control.placement.PlacementPlan.shardOf("reserve", "reserve", key, 32);
+            final String holder = cluster.node("ed1")
+                    .node()
+                    .configuration()
+                    .plan()
+                    .assignments()
+                    .get(shard)
+                    .owner();
+            final String victim = who.equals("holder") ? holder : who.equals("authority") ? cluster.boss() : who;
             final List<String> got = new ArrayList<>();
-            ask(town, "ed1", post(key), got);
-            town.world().in(2 + off * 7, () -> hit(town, victim, what));
+            ask(cluster, "ed1", post(key), got);
+            cluster.world().in(2 + off * 7, () -> hit(cluster, victim, what));
             for (int i = 1; i < 12; i++) {
                 final String edge = "ed" + (2 + i % 8);
-                town.world().in(i * 700L, () -> ask(town, edge, post(key), got));
+                cluster.world().in(i * 700L, () -> ask(cluster, edge, post(key), got));
             }
-            town.run(16_000);
-            final long runs = town.log().rows().stream()
+            cluster.run(16_000);
+            final long runs = cluster.log().rows().stream()
                     .filter(r -> "org".equals(r.get("log")) && key.equals(r.get("key")))
                     .count();
             assertTrue(runs <= 1, runs + " runs, offset " + off);
             assertTrue(got.size() >= 10, "answers " + got.size());
-            clean(town, 1);
+            clean(cluster, 1);
         }
     }
 
-    private static void hit(final SimCluster town, final String who, final String what) {
+    private static void hit(final SimCluster cluster, final String who, final String what) {
         switch (what) {
-            case "kill" -> town.kill(who, 2000);
-            case "freeze" -> town.freeze(who, 7000);
-            case "cut" -> town.cut(List.of(who), 7000);
-            case "lose-disk" -> town.loseDisk(who, 1500);
-            case "stall" -> town.stall(who, 3000);
+            case "kill" -> cluster.kill(who, 2000);
+            case "freeze" -> cluster.freeze(who, 7000);
+            case "cut" -> cluster.cut(List.of(who), 7000);
+            case "lose-disk" -> cluster.loseDisk(who, 1500);
+            case "stall" -> cluster.stall(who, 3000);
             case "reset" -> {
                 List.of("reserve1", "reserve2").forEach(o -> {
-                    town.origins().get(o).kill();
-                    town.world().in(1500, town.origins().get(o)::start);
+                    cluster.origins().get(o).kill();
+                    cluster.world().in(1500, cluster.origins().get(o)::start);
                 });
             }
-            case "lose" -> town.origins().values().forEach(o -> o.fault("lose", 3));
+            case "lose" -> cluster.origins().values().forEach(o -> o.fault("lose", 3));
             default ->
-                town.origins().values().stream()
+                cluster.origins().values().stream()
                         .filter(o -> o.name().startsWith("reserve"))
                         .forEach(o -> {
                             o.kill();
-                            town.world().in(1500, o::start);
+                            cluster.world().in(1500, o::start);
                         });
         }
     }
@@ -161,29 +169,34 @@
     void aRefusedKeyMayRunAfterAMove() {
         int done = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            final SimCluster town = new SimCluster(Place.kilimanjaro(), seed).open();
-            town.origins().values().stream()
+            final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed).open();
+            cluster.origins().values().stream()
                     .filter(o -> o.name().startsWith("reserve"))
                     .forEach(o -> o.kill());
-            town.run(12_000);
+            cluster.run(12_000);
             final String key = "again-" + seed;
-            final int shard = org.rowanvalve.control.Plan.shard("reserve", "reserve", key, 32);
-            final String holder =
-                    town.node("ed1").node().view().plan().parts().get(shard).owner();
+            final int shard = org.rowanvalve.control.placement.PlacementPlan.shardOf("reserve", "reserve", key, 32);
+            final String holder = cluster.node("ed1")
+                    .node()
+                    .configuration()
+                    .plan()
+                    .assignments()
+                    .get(shard)
+                    .owner();
             final List<String> got = new ArrayList<>();
-            ask(town, "ed1", post(key), got);
-            town.run(3000);
+            ask(cluster, "ed1", post(key), got);
+            cluster.run(3000);
             assertEquals(List.of("refused"), got);
-            town.origins().values().stream()
+            cluster.origins().values().stream()
                     .filter(o -> o.name().startsWith("reserve"))
                     .forEach(o -> o.start());
-            town.kill(holder, 0);
-            town.run(9000);
-            ask(town, "ed2", post(key), got);
-            town.run(2000);
+            cluster.kill(holder, 0);
+            cluster.run(9000);
+            ask(cluster, "ed2", post(key), got);
+            cluster.run(2000);
             assertEquals("done", got.get(1), "seed " + seed);
             done++;
-            clean(town, 2);
+            clean(cluster, 2);
         }
         assertEquals(6, done);
     }
@@ -192,29 +205,30 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aNodeThatMissedThePushLearnsInTime(final long seed) {
-        final SimCluster town = new SimCluster(Place.coastline(), seed).open();
-        town.itemOperator().stop();
+        final SimCluster cluster = new SimCluster(Deployment.coastline(), seed).open();
+        cluster.itemOperator().stop();
         final long[] end = {0};
         for (final String n : List.of("ed5", "sh3", "ed9")) {
-            town.net().cut("ed1", n);
+            cluster.net().cut("ed1", n);
         }
         final byte[] body =
                 "{\"prefix\":\"/new/\",\"service\":\"listing\",\"mode\":\"cached\",\"lifetimeMs\":100}".getBytes();
-        final ItemId id = new ItemId(Kind.ROUTE, "new");
-        town.node("ed1")
-                .post(() -> town.node("ed1")
+        final ItemId id = new ItemId(ItemKind.ROUTE, "new");
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
                         .node()
-                        .clerk()
-                        .put(
+                        .configurationService()
+                        .putItem(
                                 id,
                                 body,
                                 0,
                                 "w",
-                                s -> end[0] = s.status() == 200 ? town.world().now() : -1));
-        town.run(3000);
+                                s -> end[0] =
+                                        s.status() == 200 ? cluster.world().now() : -1));
+        cluster.run(3000);
         assertTrue(end[0] > 0);
-        for (final String n : town.nodes().keySet()) {
-            final long at = town.log().rows().stream()
+        for (final String n : cluster.nodes().keySet()) {
+            final long at = cluster.log().rows().stream()
                     .filter(r -> "LEARNED".equals(r.get("name"))
                             && n.equals(r.get("node"))
                             && "ROUTE/new".equals(r.get("item")))
@@ -228,24 +242,24 @@
     /** What is given up is refused at once: with no majority there, not at the end of the write's own span. */
     @Test
     void aWriteWithoutAMajorityIsRefusedWhenItIsGivenUp() {
-        final SimCluster town = new SimCluster(Place.kilimanjaro(), 3).open();
-        town.itemOperator().stop();
-        town.node("st1").kill();
-        town.node("sh1").kill();
-        final long from = town.world().now();
+        final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 3).open();
+        cluster.itemOperator().stop();
+        cluster.node("st1").kill();
+        cluster.node("sh1").kill();
+        final long from = cluster.world().now();
         final List<String> said = new ArrayList<>();
-        town.node("ed1")
-                .post(() -> town.node("ed1")
+        cluster.node("ed1")
+                .execute(() -> cluster.node("ed1")
                         .node()
-                        .clerk()
-                        .delete(
-                                new ItemId(Kind.ROUTE, "terms"),
+                        .configurationService()
+                        .deleteItem(
+                                new ItemId(ItemKind.ROUTE, "terms"),
                                 1,
                                 "d",
-                                (ApiResult s) -> said.add(
-                                        s.status() + " " + (town.world().now() - from) + " "
+                                (ApiResponse s) -> said.add(
+                                        s.status() + " " + (cluster.world().now() - from) + " "
                                                 + s.body().get("retryAfterMs"))));
-        town.run(4000);
+        cluster.run(4000);
         assertEquals(1, said.size());
         final String[] parts = said.get(0).split(" ");
         assertEquals("503", parts[0]);
--- a/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
@@ -12,52 +12,54 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.rowanvalve.common.Condition;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Role;
-import org.rowanvalve.control.Json;
-import org.rowanvalve.control.Purge;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.json.Json;
 
 /** A small step by counts of frames and their sizes, whatever the machine's speed. */
 class ScaleTest {
     private static final int SIZE = 40;
     private static final long MOST = 60_000;
 
-    private static Tally.Count count(final Hollow h, final String kind) {
-        return h.tally().counts().getOrDefault(kind, new Tally.Count(0, 0));
+    private static MessageTally.Count count(final LightweightNode h, final String kind) {
+        return h.tally().counts().getOrDefault(kind, new MessageTally.Count(0, 0));
     }
 
-    private static Map<NodeId, Tally.Count> counts(final List<Hollow> all, final String kind) {
-        final Map<NodeId, Tally.Count> map = new HashMap<>();
+    private static Map<NodeId, MessageTally.Count> counts(final List<LightweightNode> all, final String kind) {
+        final Map<NodeId, MessageTally.Count> map = new HashMap<>();
         all.forEach(h -> map.put(h.id(), count(h, kind)));
         return map;
     }
 
     @Test
     void aStepOfFortyByCounts(@TempDir final Path dir) throws Exception {
-        try (Herd herd = new Herd(SIZE, 32, false, dir.resolve("run"), dir)) {
-            assertTrue(Herd.until(herd.up(), MOST, herd::settled) >= 0, "all hear of all");
-            final List<Hollow> edges = herd.up(h -> h.role() == Role.EDGE);
+        try (LightweightNodes herd = new LightweightNodes(SIZE, 32, false, dir.resolve("run"), dir)) {
+            assertTrue(LightweightNodes.until(herd.up(), MOST, herd::settled) >= 0, "all hear of all");
+            final List<LightweightNode> edges = herd.up(h -> h.role() == Role.EDGE);
             assertTrue(
-                    Herd.until(herd.up(), MOST, h -> h.see(n -> n.condition() == Condition.READY, false)) >= 0,
+                    LightweightNodes.until(
+                                    herd.up(), MOST, h -> h.see(node -> node.status() == NodeStatus.READY, false))
+                            >= 0,
                     "all are ready");
-            final Map<NodeId, Tally.Count> calm = counts(edges, "in Beaten");
-            assertTrue(Herd.until(
+            final Map<NodeId, MessageTally.Count> calm = counts(edges, "in Beaten");
+            assertTrue(LightweightNodes.until(
                             edges,
                             MOST,
                             h -> count(h, "in Beaten").frames()
                                     >= calm.get(h.id()).frames() + 12)
                     >= 0);
-            final Map<NodeId, Tally.Count> from = counts(edges, "in Beaten");
-            assertTrue(Herd.until(
+            final Map<NodeId, MessageTally.Count> from = counts(edges, "in Beaten");
+            assertTrue(LightweightNodes.until(
                             edges,
                             MOST,
                             h -> count(h, "in Beaten").frames()
                                     >= from.get(h.id()).frames() + 24)
                     >= 0);
-            final Tally.Count beaten = edges.stream()
+            final MessageTally.Count beaten = edges.stream()
                     .map(h -> count(h, "in Beaten").less(from.get(h.id())))
-                    .reduce(new Tally.Count(0, 0), Tally.Count::plus);
+                    .reduce(new MessageTally.Count(0, 0), MessageTally.Count::plus);
             assertTrue(
                     beaten.bytes() / beaten.frames() < 250,
                     "bytes of an answer to a beat: " + beaten.bytes() / beaten.frames());
@@ -67,37 +69,39 @@
     }
 
     /** One purge, one push to each node, none of them answered. */
-    private void push(final Herd herd, final List<Hollow> edges) throws InterruptedException {
-        final Purge p = new Purge(null, "/page", null, "shop.example", null);
-        final String key = Json.text(p);
-        final Hollow door = edges.get(0);
-        final Tally.Count out = count(door, "out Learn");
-        herd.waves().begin(key, herd.up().stream().map(Hollow::id).toList());
-        door.loop().post(() -> door.node().orders().purge(p, said -> {}));
-        assertTrue(Herd.until(List.of(door), MOST, h -> herd.waves().done() == 1) >= 0, "a purge everywhere");
-        assertTrue(Herd.until(List.of(door), MOST, h -> count(h, "out Learn").frames() - out.frames() == SIZE - 1)
+    private void push(final LightweightNodes herd, final List<LightweightNode> edges) throws InterruptedException {
+        final Purge purge = new Purge(null, "/page", null, "shop.example", null);
+        final String key = Json.write(purge);
+        final LightweightNode door = edges.get(0);
+        final MessageTally.Count out = count(door, "out Learn");
+        herd.waves().begin(key, herd.up().stream().map(LightweightNode::id).toList());
+        door.loop().execute(() -> door.node().updateService().purge(purge, said -> {}));
+        assertTrue(
+                LightweightNodes.until(List.of(door), MOST, h -> herd.waves().done() == 1) >= 0, "a purge everywhere");
+        assertTrue(LightweightNodes.until(
+                        List.of(door), MOST, h -> count(h, "out Learn").frames() - out.frames() == SIZE - 1)
                 >= 0);
         assertEquals(0, count(door, "in Ok").frames());
     }
 
     @Test
     void aScaleThatDoesNotFitIsRefusedWithTheFigure() {
-        final Room room = new Room(32_000, 4096, 20_000, 100_000, 16);
+        final MachineCapacity room = new MachineCapacity(32_000, 4096, 20_000, 100_000, 16);
         assertEquals(List.of(), room.lacks(430));
         assertEquals(
                 List.of("900 nodes need 41600 open files, there are 20000, allowed to this process"),
                 room.lacks(900).stream().filter(l -> l.contains("files")).toList());
         assertTrue(room.lacks(100_000).size() >= 4);
-        assertEquals(List.of(), Scale.sizes("50,x"));
-        assertEquals(List.of(), Scale.sizes("11"));
-        assertEquals(List.of(50, 430), Scale.sizes("50,430"));
+        assertEquals(List.of(), ScaleRun.sizes("50,x"));
+        assertEquals(List.of(), ScaleRun.sizes("11"));
+        assertEquals(List.of(50, 430), ScaleRun.sizes("50,430"));
     }
 
     @Test
     void slopesAreLinesOfLeastSquares() {
         final Map<String, Double> a = new LinkedHashMap<>(Map.of("nodes", 50.0, "bytes", 300.0));
         final Map<String, Double> b = new LinkedHashMap<>(Map.of("nodes", 150.0, "bytes", 500.0));
-        final double[] line = Scale.slopes(List.of(a, b)).get("bytes");
+        final double[] line = ScaleRun.slopes(List.of(a, b)).get("bytes");
         assertEquals(200, line[0], 1e-9);
         assertEquals(2, line[1], 1e-9);
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/sim/LossLimitTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/sim/LossLimitTest.java
@@ -9,19 +9,19 @@
 
 /** How many counted machines are lost, and until when. */
 class LossLimitTest {
-    private final World world = new World(1);
-    private final LossLimit losses = new LossLimit(world, m -> m.startsWith("sh"), 1, 4000);
+    private final VirtualTime time = new VirtualTime(1);
+    private final LossLimit losses = new LossLimit(time, m -> m.startsWith("sh"), 1, 4000);
 
     @Test
     void oneThatIsBackCountsUntilItHasCaughtUp() {
         losses.gone("sh1");
-        world.run(9000);
+        time.run(9000);
         assertFalse(losses.bears(List.of("sh2")));
         losses.back("sh1");
-        world.run(12_999);
+        time.run(12_999);
         assertFalse(losses.bears(List.of("sh2")));
         assertFalse(losses.clear());
-        world.run(13_000);
+        time.run(13_000);
         assertTrue(losses.bears(List.of("sh2")));
         assertTrue(losses.clear());
     }
@@ -34,7 +34,7 @@
         assertFalse(losses.bears(List.of("ed1", "sh3")));
         assertFalse(losses.bears(List.of("sh1", "sh3")));
         losses.gone("ed1");
-        world.run(5000);
+        time.run(5000);
         assertTrue(losses.clear());
         assertFalse(losses.bears(List.of("sh1", "sh2")), "two at once");
     }
@@ -43,11 +43,11 @@
     void theLongerOfTwoTroublesOfOneMachineCounts() {
         losses.lostFor("sh1", 8000);
         losses.lostFor("sh1", 100);
-        world.run(11_000);
+        time.run(11_000);
         assertEquals(false, losses.clear());
         losses.gone("sh1");
         losses.lostFor("sh1", 10);
-        world.run(90_000);
+        time.run(90_000);
         assertFalse(losses.clear());
     }
 
@@ -64,11 +64,11 @@
     void aStartEndsNoOtherTroubleOfTheSameMachine() {
         losses.gone("sh1");
         losses.lostFor("sh1", 9000);
-        world.run(3000);
+        time.run(3000);
         losses.back("sh1");
-        world.run(12_999);
+        time.run(12_999);
         assertFalse(losses.bears(List.of("sh2")));
-        world.run(13_000);
+        time.run(13_000);
         assertTrue(losses.clear());
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/sim/CircuitsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/sim/SimConnectionsTest.java
@@ -7,30 +7,33 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.rowanvalve.common.ItemId;
-import org.rowanvalve.common.Msg;
-import org.rowanvalve.common.NodeId;
-import org.rowanvalve.common.Reply;
-import org.rowanvalve.testkit.Place;
+import org.rowanvalve.common.message.LearnNotification;
+import org.rowanvalve.common.message.Message;
+import org.rowanvalve.common.message.Reply;
+import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.testkit.scenario.Deployment;
 
 /** What the simulator's links do to messages under way. */
-class CircuitsTest {
-    private final SimCluster cluster = new SimCluster(Place.kilimanjaroShields(), 1).open();
+class SimConnectionsTest {
+    private final SimCluster cluster = new SimCluster(Deployment.kilimanjaroShields(), 1).open();
     private final List<Reply> replies = new ArrayList<>();
-    private final List<Msg> arrived = new ArrayList<>();
+    private final List<Message> arrived = new ArrayList<>();
 
     private void ask(final long wait) {
         cluster.net().tap((to, msg) -> {
-            if (msg instanceof Msg.Learn l && l.list().isEmpty()) {
+            if (msg instanceof LearnNotification l && l.items().isEmpty()) {
                 arrived.add(msg);
             }
         });
-        cluster.net().of(cluster.node("sh1")).ask(NodeId.of("sh2"), new Msg.Learn(List.of()), wait, replies::add);
+        cluster.net()
+                .of(cluster.node("sh1"))
+                .request(NodeId.of("sh2"), new LearnNotification(List.of()), wait, replies::add);
     }
 
     @Test
     void whatIsCutTwiceIsOpenOnceBothAreHealed() {
-        final SimNet net = cluster.net();
+        final SimTransport net = cluster.net();
         net.cut("sh1", "sh2");
         net.cut("sh1", "sh2");
         assertTrue(net.open("sh2", "sh1"), "one way only");
@@ -47,7 +50,7 @@
         ask(5000);
         cluster.net().resetCircuit("sh2", "sh1");
         cluster.run(5);
-        assertEquals(List.of(Reply.lost(Reply.Trouble.NO_ANSWER)), replies);
+        assertEquals(List.of(Reply.failed(Reply.Failure.NO_RESPONSE)), replies);
         cluster.run(3000);
         assertEquals(List.of(), arrived, "the question was on that circuit");
         assertEquals(1, replies.size());
@@ -60,7 +63,7 @@
         cluster.run(300);
         assertEquals(1, arrived.size());
         assertEquals(1, replies.size());
-        assertTrue(replies.get(0).msg() != null);
+        assertTrue(replies.get(0).message() != null);
     }
 
     @Test
@@ -75,14 +78,14 @@
 
     @Test
     void aStepOfTheTimeOfDayLeavesTimersAsTheyAre() {
-        final SimNode n = cluster.node("sh4");
-        final long before = n.now();
-        new CoreTroubles(cluster).stepClock("sh4", 4000, 500);
-        assertEquals(before, n.now());
+        final SimNode node = cluster.node("sh4");
+        final long before = node.now();
+        new CoreFaults(cluster).stepClock("sh4", 4000, 500);
+        assertEquals(before, node.now());
         cluster.run(3000);
         assertTrue(cluster.log().rows().stream()
                 .anyMatch(r -> "WOKE".equals(r.get("name")) && "sh4".equals(r.get("node"))));
-        assertTrue(n.node().sync().fresh());
+        assertTrue(node.node().viewSynchronizer().isFresh());
     }
 
     @Test
@@ -96,7 +99,7 @@
             cluster.run(3000);
             cluster.nodes().keySet().stream()
                     .filter(n -> n.startsWith("sh"))
-                    .forEach(n -> new CoreTroubles(cluster).slowDisk(n, 30, 9000));
+                    .forEach(n -> new CoreFaults(cluster).slowDisk(n, 30, 9000));
         }
         assertTrue(took[0] > 0 && took[1] > took[0] + 25, took[0] + " and " + took[1] + " ms");
     }
@@ -107,10 +110,11 @@
         cluster.retire("sh2");
         assertEquals("sh6", next);
         assertEquals("sh6", cluster.present("sh2").orElseThrow());
-        assertEquals(Place.kilimanjaroShields().cell("sh2"), cluster.node(next).cell());
+        assertEquals(
+                Deployment.kilimanjaroShields().cell("sh2"), cluster.node(next).cell());
         cluster.start("sh2");
         assertFalse(cluster.node("sh2").alive(), "it is gone for good");
         assertFalse(cluster.nodes().containsKey("sh2"));
-        assertFalse(cluster.node(next).disk().has("e/" + ItemId.TENURE.text()));
+        assertFalse(cluster.node(next).disk().has("e/" + ItemId.LEADERSHIP.text()));
     }
 }
