--- a/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.Map;
 import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 
 /**
@@ -12,7 +13,7 @@
  */
 @JsonTypeName("Filled")
 public record ForwardResponse(
-        String fate,
+        RequestOutcome fate,
         @JsonProperty("why") String reason,
         int status,
         FencingToken token,
@@ -30,7 +31,7 @@
     }
 
     public ForwardResponse(
-            final String fate,
+            final RequestOutcome fate,
             final String reason,
             final int status,
             final FencingToken token,
@@ -44,7 +45,7 @@
     }
 
     public ForwardResponse(
-            final String fate,
+            final RequestOutcome fate,
             final String reason,
             final int status,
             final FencingToken token,
--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -4,6 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.MapperFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
 import java.io.IOException;
@@ -27,6 +28,7 @@
 
     private static ObjectMapper createMapper() {
         final CBORMapper map = CBORMapper.builder()
+                .disable(MapperFeature.AUTO_DETECT_IS_GETTERS)
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                 .serializationInclusion(JsonInclude.Include.NON_NULL)
                 .build();
--- a/common/src/main/java/org/rowanvalve/common/message/ShardLease.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ShardLease.java
@@ -1,5 +1,6 @@
 package org.rowanvalve.common.message;
 
 import org.rowanvalve.common.model.FencingToken;
+import org.rowanvalve.common.model.LeaseState;
 
-public record ShardLease(int shard, FencingToken token, String state) {}
+public record ShardLease(int shard, FencingToken token, LeaseState state) {}
--- a/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
@@ -4,12 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.model.ValidationError;
 
 /** What became of it; {@code item} and {@code version} name the conflict, where there is one. */
 @JsonTypeName("Ordered")
 public record UpdateForwardResponse(
-        String verdict,
+        UpdateVerdict verdict,
         ItemId item,
         long version,
         @JsonProperty("findings") List<ValidationError> errors) implements Message {}
--- a/control/src/main/java/org/rowanvalve/control/config/Configuration.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Configuration.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
 import org.rowanvalve.common.message.ChosenItem;
 import org.rowanvalve.common.model.ItemId;
@@ -73,10 +72,10 @@
     }
 
     private static Service service(final JsonObjectReader object) {
-        final String kind = object.oneOf("kind", Set.of(Service.CONTENT, Service.BOOKING, Service.OPEN));
+        final ServiceKind kind = ServiceKind.ofCode(object.oneOf("kind", ServiceKind.codes()));
         return new Service(
                 kind,
-                object.number("rate", Service.CONTENT.equals(kind), 0, 0, 100_000)
+                object.number("rate", kind == ServiceKind.CONTENT, 0, 0, 100_000)
                         .doubleValue(),
                 (int) object.wholeNumber("bodyLimit", false, 65_536, 0, 67_108_864),
                 object.wholeNumber("cutoffMs", false, 2000, 100, 600_000),
@@ -101,11 +100,11 @@
         }
         final List<Route.WeightedService> split = new ArrayList<>();
         object.list("split").forEach(value -> {
-            final JsonObjectReader purge =
+            final JsonObjectReader weighted =
                     new JsonObjectReader(value, object.pathOf("split/" + split.size()), object.errors());
             split.add(new Route.WeightedService(
-                    purge.text("service", true, ""), (int) purge.wholeNumber("weight", true, 0, 0, 1_000_000)));
-            purge.rejectUnknownMembers();
+                    weighted.text("service", true, ""), (int) weighted.wholeNumber("weight", true, 0, 0, 1_000_000)));
+            weighted.rejectUnknownMembers();
         });
         if (!split.isEmpty()
                 && split.stream().mapToLong(Route.WeightedService::weight).sum() == 0) {
@@ -113,8 +112,8 @@
         }
         final String service = object.text(
                 "service", split.isEmpty(), split.isEmpty() ? "" : split.get(0).service());
-        final String mode = object.oneOf("mode", Set.of(Route.CACHED, Route.STATUS, Route.KEYED, Route.AT_MOST_ONCE));
-        final long life = object.wholeNumber("lifetimeMs", Route.CACHED.equals(mode), 0, 0, 86_400_000);
+        final RouteMode mode = RouteMode.ofCode(object.oneOf("mode", RouteMode.codes()));
+        final long life = object.wholeNumber("lifetimeMs", mode == RouteMode.CACHED, 0, 0, 86_400_000);
         final String when = object.text("when", false, "");
         if (!when.isEmpty()) {
             RouteCondition.error(when).ifPresent(f -> object.addError("when", f));
@@ -164,7 +163,7 @@
                     .filter(name -> !name.isEmpty() && !services.containsKey(name))
                     .forEach(name -> errors.add(new ValidationError(at + "/service", "no service is named " + name)));
             final Service to = services.get(route.service());
-            if (to != null && Route.KEYED.equals(route.mode()) && to.isContent()) {
+            if (to != null && route.hasMode(RouteMode.KEYED) && to.isContent()) {
                 errors.add(new ValidationError(at + "/mode", "a content store takes no keyed requests"));
             }
             for (int j = 0; j < i; j++) {
--- a/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
@@ -245,7 +245,7 @@
     /** How long a keyed request may take at most. */
     public long longestKeyedTimeoutMs() {
         return routesByPrecedence().stream()
-                .filter(r -> r.route().hasMode(Route.KEYED) && r.service() != null)
+                .filter(r -> r.route().hasMode(RouteMode.KEYED) && r.service() != null)
                 .mapToLong(ConfiguredRoute::timeoutMs)
                 .max()
                 .orElse(0);
--- a/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
@@ -5,7 +5,7 @@
 /** {@code service} is empty where none stands; such a route takes its paths and serves none of them. */
 public record ConfiguredRoute(String name, Route route, Service service, Optional<RouteCondition> condition) {
     public boolean isUsable() {
-        return service != null && !(Route.KEYED.equals(route.mode()) && service.isContent());
+        return service != null && !(route.hasMode(RouteMode.KEYED) && service.isContent());
     }
 
     public long timeoutMs() {
--- a/control/src/main/java/org/rowanvalve/control/config/Origin.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Origin.java
@@ -11,7 +11,7 @@
         String host,
         int port,
         @JsonProperty("stamp") String instance,
-        String kind,
+        ServiceKind kind,
         double load,
         long ttlMs,
         @JsonProperty("leaving") boolean draining,
@@ -29,7 +29,7 @@
             final String host,
             final int port,
             final String instance,
-            final String kind,
+            final ServiceKind kind,
             final double load,
             final long ttlMs,
             final boolean draining,
@@ -48,7 +48,7 @@
             final String cell,
             final int slots,
             final long coldMs) {
-        return new Origin(service, host, port, stamp, Service.OPEN, 0, 0, leaving, beat, cell, slots, coldMs);
+        return new Origin(service, host, port, stamp, ServiceKind.OPEN, 0, 0, leaving, beat, cell, slots, coldMs);
     }
 
     /** The same origin once it has ended: no later beat passes this one. */
--- a/control/src/main/java/org/rowanvalve/control/config/Route.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Route.java
@@ -12,7 +12,7 @@
 public record Route(
         String prefix,
         String service,
-        String mode,
+        RouteMode mode,
         @JsonProperty("lifetimeMs") long ttlMs,
         boolean purgeable,
         @JsonProperty("when") String condition,
@@ -24,10 +24,6 @@
         @JsonProperty("rank") int priority,
         @JsonProperty("tries") int maxAttempts,
         String note) {
-    public static final String CACHED = "cached";
-    public static final String STATUS = "status";
-    public static final String KEYED = "once";
-    public static final String AT_MOST_ONCE = "single";
 
     /** One service of a route that is split over several, with its weight. */
     public record WeightedService(String service, int weight) {}
@@ -44,8 +40,8 @@
         return path.startsWith(prefix);
     }
 
-    public boolean hasMode(final String word) {
-        return mode.equals(word);
+    public boolean hasMode(final RouteMode other) {
+        return mode == other;
     }
 
     /** All services that may get requests of this route. */
--- a/control/src/main/java/org/rowanvalve/control/config/Service.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Service.java
@@ -7,22 +7,19 @@
  * {@code connectionLimit}: connections that an origin takes from all callers; {@code note}: the operator's own words.
  */
 public record Service(
-        String kind,
+        ServiceKind kind,
         @JsonProperty("rate") double ratePerOrigin,
         int bodyLimit,
         @JsonProperty("cutoffMs") long timeoutMs,
         @JsonProperty("ceiling") double rateLimit,
         @JsonProperty("circuits") int connectionLimit,
         String note) {
-    public static final String CONTENT = "content";
-    public static final String BOOKING = "booking";
-    public static final String OPEN = "open";
 
     public Service {
         note = note == null ? "" : note;
     }
 
     public boolean isContent() {
-        return CONTENT.equals(kind);
+        return kind == ServiceKind.CONTENT;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/json/Json.java
+++ b/control/src/main/java/org/rowanvalve/control/json/Json.java
@@ -2,12 +2,14 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.MapperFeature;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /** Reads and writes the JSON bodies of items. */
 public final class Json {
     private static final JsonMapper MAPPER = JsonMapper.builder()
+            .disable(MapperFeature.AUTO_DETECT_IS_GETTERS)
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
             .build();
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
@@ -26,6 +26,7 @@
 import org.rowanvalve.common.message.ShardLease;
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.LeaseState;
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.EventLoop;
@@ -53,18 +54,10 @@
     private long helloSentAt;
     private long missedRenewals;
 
-    /** The states of a lease, as its holder sees them. */
-    public enum State {
-        HELD,
-        UNCERTAIN,
-        EXPIRED,
-        REVOKED
-    }
-
     /** One shard's lease with its fencing token and the end of its validity. */
     public static final class Lease {
         private FencingToken token;
-        private State state;
+        private LeaseState state;
         private long validUntil;
         private boolean fencing;
 
@@ -72,7 +65,7 @@
             return token;
         }
 
-        public State state() {
+        public LeaseState state() {
             return state;
         }
     }
@@ -110,7 +103,7 @@
     public boolean mayFill(final int shard) {
         final Lease lease = leases.get(shard);
         return lease != null
-                && lease.state == State.HELD
+                && lease.state == LeaseState.HELD
                 && !lease.fencing
                 && loop.now() < lease.validUntil
                 && clockSound.getAsBoolean();
@@ -124,7 +117,7 @@
     /** Copies are served on until the shard is known to be another's; only filling needs the right. */
     public boolean mayServe(final int shard) {
         final Lease lease = leases.get(shard);
-        return lease != null && lease.state != State.REVOKED;
+        return lease != null && lease.state != LeaseState.REVOKED;
     }
 
     public long heldCount() {
@@ -144,10 +137,10 @@
             helloSentAt = Long.MIN_VALUE / 2;
         }
         leases.forEach((shard, lease) -> {
-            if ((lease.state == State.HELD || lease.state == State.UNCERTAIN)
+            if ((lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN)
                     && lease.validUntil > 0
                     && loop.now() >= lease.validUntil) {
-                lease.state = State.EXPIRED;
+                lease.state = LeaseState.EXPIRED;
                 fenceShard(shard, lease, "expired", ok -> {});
             }
         });
@@ -166,8 +159,8 @@
     private List<ShardLease> reportedLeases(final boolean allStopped) {
         final List<ShardLease> list = new ArrayList<>();
         leases.forEach((shard, lease) -> {
-            if (allStopped || lease.state == State.HELD || lease.state == State.UNCERTAIN) {
-                list.add(new ShardLease(shard, lease.token, lease.fencing ? "FENCING" : lease.state.name()));
+            if (allStopped || lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
+                list.add(new ShardLease(shard, lease.token, lease.fencing ? LeaseState.FENCING : lease.state));
             }
         });
         return list;
@@ -209,10 +202,10 @@
     private void onRenewalTimeout(final List<ShardLease> list, final long sentAt) {
         for (final ShardLease shardLease : list) {
             final Lease lease = leases.get(shardLease.shard());
-            if (lease.state == State.HELD
+            if (lease.state == LeaseState.HELD
                     && lease.token.equals(shardLease.token())
                     && lease.validUntil <= timings.validUntil(sentAt)) {
-                lease.state = State.UNCERTAIN;
+                lease.state = LeaseState.UNCERTAIN;
                 journal.add(Event.of(EventCode.UNSURE, "shard", shardLease.shard(), "token", lease.token.toString()));
             }
         }
@@ -234,13 +227,13 @@
             if (lease == null
                     || !lease.token.equals(shardLease.token())
                     || lease.fencing
-                    || lease.state != State.HELD && lease.state != State.UNCERTAIN
+                    || lease.state != LeaseState.HELD && lease.state != LeaseState.UNCERTAIN
                     || timings.validUntil(sentAt) <= loop.now()) {
                 continue;
             }
             lease.validUntil = Math.max(lease.validUntil, timings.validUntil(sentAt));
-            if (lease.state == State.UNCERTAIN) {
-                lease.state = State.HELD;
+            if (lease.state == LeaseState.UNCERTAIN) {
+                lease.state = LeaseState.HELD;
                 journal.add(Event.of(EventCode.HELD, "shard", shardLease.shard(), "token", lease.token.toString()));
             }
         }
@@ -268,7 +261,9 @@
         final FencingToken highestToken = highestTokens.getOrDefault(shardLease.shard(), FencingToken.ZERO);
         final Lease existing = leases.get(shardLease.shard());
         if (shardLease.token().isBelow(highestToken)
-                || existing != null && existing.state == State.REVOKED && !highestToken.isBelow(shardLease.token())) {
+                || existing != null
+                        && existing.state == LeaseState.REVOKED
+                        && !highestToken.isBelow(shardLease.token())) {
             journal.add(Event.of(
                     EventCode.GRANT_REJECTED,
                     "shard",
@@ -281,14 +276,15 @@
         }
         if (existing != null
                 && existing.token.equals(shardLease.token())
-                && (existing.state != State.EXPIRED || existing.fencing)) {
+                && (existing.state != LeaseState.EXPIRED || existing.fencing)) {
             return false;
         }
         final Lease lease = existing == null ? new Lease() : existing;
-        final boolean stillValid = existing != null && existing.state == State.HELD && loop.now() < existing.validUntil;
+        final boolean stillValid =
+                existing != null && existing.state == LeaseState.HELD && loop.now() < existing.validUntil;
         lease.validUntil = stillValid ? lease.validUntil : 0;
         lease.token = shardLease.token();
-        lease.state = State.UNCERTAIN;
+        lease.state = LeaseState.UNCERTAIN;
         highestTokens.put(shardLease.shard(), shardLease.token());
         leases.put(shardLease.shard(), lease);
         return true;
@@ -320,15 +316,15 @@
 
     private void onRevoke(final ShardLease shardLease, final Consumer<Boolean> callback) {
         final Lease lease = leases.get(shardLease.shard());
-        if (lease == null || lease.state == State.REVOKED && !lease.fencing) {
+        if (lease == null || lease.state == LeaseState.REVOKED && !lease.fencing) {
             callback.accept(true);
         } else if (shardLease.token().isBelow(lease.token)) {
             callback.accept(false);
-        } else if (lease.state == State.EXPIRED && !lease.fencing) {
-            lease.state = State.REVOKED;
+        } else if (lease.state == LeaseState.EXPIRED && !lease.fencing) {
+            lease.state = LeaseState.REVOKED;
             callback.accept(true);
         } else {
-            lease.state = State.REVOKED;
+            lease.state = LeaseState.REVOKED;
             fenceShard(shardLease.shard(), lease, "revoked", callback);
         }
     }
@@ -349,7 +345,7 @@
     public void onFenceAck(final FenceAckRequest request, final Consumer<Message> callback) {
         request.shards().forEach(shard -> {
             final Lease lease = leases.get(shard);
-            if (lease != null && lease.state != State.HELD) {
+            if (lease != null && lease.state != LeaseState.HELD) {
                 lease.fencing = false;
             }
         });
@@ -360,8 +356,8 @@
     public void dropAll() {
         placementReceived = false;
         leases.forEach((shard, lease) -> {
-            if (lease.state == State.HELD || lease.state == State.UNCERTAIN) {
-                lease.state = State.EXPIRED;
+            if (lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
+                lease.state = LeaseState.EXPIRED;
                 fenceShard(shard, lease, "dropped", ok -> {});
             }
         });
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
@@ -26,6 +26,7 @@
 import org.rowanvalve.common.message.RejectedResponse;
 import org.rowanvalve.common.message.ShardLease;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.LeaseState;
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.Member;
 import org.rowanvalve.common.model.NodeId;
@@ -242,7 +243,7 @@
         if (!state.revokeSent) {
             state.revokeSent = true;
             revokes.computeIfAbsent(assignment.ownerId(), k -> new ArrayList<>())
-                    .add(new ShardLease(shard, assignment.token(), "REVOKED"));
+                    .add(new ShardLease(shard, assignment.token(), LeaseState.REVOKED));
         }
     }
 
@@ -321,7 +322,7 @@
             final ShardState state = shardStates.get(shard);
             if (plan.assignments().get(shard).ownerId().equals(node) && !state.moving && !state.released) {
                 state.grantedAt = loop.now();
-                leases.add(new ShardLease(shard, plan.assignments().get(shard).token(), "GRANTED"));
+                leases.add(new ShardLease(shard, plan.assignments().get(shard).token(), LeaseState.GRANTED));
             }
         }
         return leases;
@@ -345,10 +346,10 @@
         }
         final long term = election.term();
         request.leases().stream()
-                .filter(lease -> lease.state().equals("REVOKED") && matchesPlan(from, lease))
+                .filter(lease -> lease.state() == LeaseState.REVOKED && matchesPlan(from, lease))
                 .forEach(lease -> shardStates.get(lease.shard()).released = true);
         final List<ShardLease> stale = request.leases().stream()
-                .filter(lease -> !matchesPlan(from, lease) && !lease.state().equals("REVOKED"))
+                .filter(lease -> !matchesPlan(from, lease) && lease.state() != LeaseState.REVOKED)
                 .toList();
         final Runnable placement = () -> {
             if (election.term() == term) {
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import java.util.Set;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.rowanvalve.common.event.Event;
@@ -16,6 +15,7 @@
 import org.rowanvalve.control.config.Configuration;
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.consensus.Proposer;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.json.JsonObjectReader;
@@ -47,7 +47,7 @@
         final Object value = JsonReader.read(data, errors);
         final JsonObjectReader object = new JsonObjectReader(value, "", errors);
         final String service = object.text("service", true, "");
-        final String kind = object.oneOf("kind", Set.of(Service.CONTENT, Service.BOOKING, Service.OPEN));
+        final ServiceKind kind = ServiceKind.ofCode(object.oneOf("kind", ServiceKind.codes()));
         final Origin announced = new Origin(
                 service,
                 object.text("host", true, ""),
@@ -62,7 +62,7 @@
         final Service to = Configuration.of(items).services().get(service);
         if (to == null) {
             errors.add(new ValidationError("/service", "no configuration names this service"));
-        } else if (!to.kind().equals(kind)) {
+        } else if (to.kind() != kind) {
             errors.add(new ValidationError("/kind", "the service is of kind " + to.kind()));
         }
         if (!name.matches("[a-z0-9][a-z0-9._-]{0,60}")) {
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateLedger.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateLedger.java
@@ -13,6 +13,7 @@
 import java.util.stream.Stream;
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.model.ValidationError;
 import org.rowanvalve.control.json.Json;
 
@@ -48,23 +49,9 @@
         }
     }
 
-    /** What a call comes to before a state of the ledger. */
-    enum Verdict {
-        /** Every number of the call was taken with this body, or was overtaken: nothing is left to decide. */
-        TAKEN,
-        /** Some number is new: the call can be taken. */
-        NEW,
-        /** Some number was taken with another body. */
-        CONFLICT,
-        /** Some route names a service that is not known. */
-        INVALID_REFERENCE,
-        /** No majority has answered: it may stand or not. */
-        UNDECIDED
-    }
-
     /** {@code item}, {@code version}: where the conflict is, and the number that stands there. */
-    record Judgement(Verdict verdict, ItemId item, long version, List<ValidationError> errors) {
-        static Judgement of(final Verdict verdict) {
+    record Judgement(UpdateVerdict verdict, ItemId item, long version, List<ValidationError> errors) {
+        static Judgement of(final UpdateVerdict verdict) {
             return new Judgement(verdict, null, 0, List.of());
         }
     }
@@ -116,7 +103,7 @@
             final long number = entry.getValue().version().number();
             final Optional<Taken> same = find(history, number);
             if (same.isPresent() && !same.get().digest().equals(entry.getValue().digest())) {
-                return new Judgement(Verdict.CONFLICT, entry.getKey(), highestNumber(history), List.of());
+                return new Judgement(UpdateVerdict.CONFLICT, entry.getKey(), highestNumber(history), List.of());
             }
             if (same.isEmpty()) {
                 final boolean overtaken = number < highestNumber(history);
@@ -126,9 +113,9 @@
             }
         }
         if (!errors.isEmpty()) {
-            return new Judgement(Verdict.INVALID_REFERENCE, null, 0, errors);
+            return new Judgement(UpdateVerdict.INVALID_REFERENCE, null, 0, errors);
         }
-        return Judgement.of(hasNew ? Verdict.NEW : Verdict.TAKEN);
+        return Judgement.of(hasNew ? UpdateVerdict.NEW : UpdateVerdict.TAKEN);
     }
 
     /** A route that takes force needs a service that stands; one that was overtaken, a service that ever stood. */
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
@@ -10,10 +10,10 @@
 import java.util.function.Supplier;
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.consensus.Proposer;
 import org.rowanvalve.control.operator.UpdateLedger.Judgement;
-import org.rowanvalve.control.operator.UpdateLedger.Verdict;
 import org.rowanvalve.control.store.ItemStore;
 
 /**
@@ -68,7 +68,7 @@
 
     /** Whether the ledger is known to hold all of a call. */
     boolean isTaken(final ConfigurationUpdate update) {
-        return learnedLedger().judge(update, items::get).verdict() == Verdict.TAKEN;
+        return learnedLedger().judge(update, items::get).verdict() == UpdateVerdict.TAKEN;
     }
 
     private void writeNextBatch() {
@@ -92,8 +92,8 @@
                         batch.forEach(pendingUpdate -> decide(chosen, pendingUpdate));
                         scheduleCleanUp(result.item());
                     } else {
-                        batch.forEach(
-                                pendingUpdate -> pendingUpdate.callback().accept(Judgement.of(Verdict.UNDECIDED)));
+                        batch.forEach(pendingUpdate ->
+                                pendingUpdate.callback().accept(Judgement.of(UpdateVerdict.UNDECIDED)));
                     }
                     writeNextBatch();
                 });
@@ -104,7 +104,7 @@
         final UpdateLedger before = UpdateLedger.of(now);
         UpdateLedger after = batch.isEmpty() ? before.withoutWritten(items::get) : before;
         for (final PendingUpdate pendingUpdate : batch) {
-            if (after.judge(pendingUpdate.update(), items::get).verdict() == Verdict.NEW) {
+            if (after.judge(pendingUpdate.update(), items::get).verdict() == UpdateVerdict.NEW) {
                 after = after.withTaken(pendingUpdate.update(), items::get);
             }
         }
@@ -121,8 +121,10 @@
                 writeItems(
                         chosen,
                         pendingUpdate.update().updates().keySet(),
-                        ok -> pendingUpdate.callback().accept(Judgement.of(ok ? Verdict.TAKEN : Verdict.UNDECIDED)));
-            case NEW -> pendingUpdate.callback().accept(Judgement.of(Verdict.UNDECIDED));
+                        ok -> pendingUpdate
+                                .callback()
+                                .accept(Judgement.of(ok ? UpdateVerdict.TAKEN : UpdateVerdict.UNDECIDED)));
+            case NEW -> pendingUpdate.callback().accept(Judgement.of(UpdateVerdict.UNDECIDED));
             default -> pendingUpdate.callback().accept(judgement);
         }
     }
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -18,6 +18,7 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.model.ValidationError;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
@@ -25,7 +26,6 @@
 import org.rowanvalve.control.consensus.Proposer;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.operator.UpdateLedger.Judgement;
-import org.rowanvalve.control.operator.UpdateLedger.Verdict;
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewSynchronizer;
 
@@ -148,7 +148,7 @@
                 WRITE_TIMEOUT_MS,
                 reply -> reply.as(UpdateForwardResponse.class)
                         .map(UpdateService::toJudgement)
-                        .filter(judgement -> judgement.verdict() != Verdict.UNDECIDED)
+                        .filter(judgement -> judgement.verdict() != UpdateVerdict.UNDECIDED)
                         .ifPresentOrElse(decision, local));
     }
 
@@ -160,15 +160,14 @@
             sequencer.submit(
                     patch,
                     judgement -> callback.accept(new UpdateForwardResponse(
-                            judgement.verdict().name(), judgement.item(), judgement.version(), judgement.errors())));
+                            judgement.verdict(), judgement.item(), judgement.version(), judgement.errors())));
         } else {
             callback.accept(new RejectedResponse("the call has faults here"));
         }
     }
 
     private static Judgement toJudgement(final UpdateForwardResponse response) {
-        return new Judgement(
-                Verdict.valueOf(response.verdict()), response.item(), response.version(), response.errors());
+        return new Judgement(response.verdict(), response.item(), response.version(), response.errors());
     }
 
     private void respond(
@@ -200,7 +199,7 @@
                 return;
             }
             sequencer.submit(patch, judgement -> {
-                if (judgement.verdict() == Verdict.INVALID_REFERENCE) {
+                if (judgement.verdict() == UpdateVerdict.INVALID_REFERENCE) {
                     callback.accept(ApiResponse.invalid(judgement.errors()));
                 } else {
                     respond(patch, judgement, callback);
--- a/control/src/test/java/org/rowanvalve/control/config/ConfigurationViewTest.java
+++ b/control/src/test/java/org/rowanvalve/control/config/ConfigurationViewTest.java
@@ -25,7 +25,7 @@
 
     private static Route match(
             final String host, final String prefix, final String service, final List<Route.WeightedService> split) {
-        return new Route(prefix, service, Route.CACHED, 1000, true, "", host, split, true, 0, 0, 0, 3, "");
+        return new Route(prefix, service, RouteMode.CACHED, 1000, true, "", host, split, true, 0, 0, 0, 3, "");
     }
 
     private void route(final String name, final String host, final String prefix, final String service) {
@@ -33,7 +33,7 @@
     }
 
     private void service(final String name) {
-        net.put(new ItemId(ItemKind.SERVICE, name), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
+        net.put(new ItemId(ItemKind.SERVICE, name), 1, new Service(ServiceKind.OPEN, 0, 1, 1000, 0, 0, ""));
     }
 
     private String at(final String host, final String path) {
--- a/control/src/test/java/org/rowanvalve/control/config/RouteTest.java
+++ b/control/src/test/java/org/rowanvalve/control/config/RouteTest.java
@@ -11,7 +11,7 @@
 
 class RouteTest {
     private static Route split(final Route.WeightedService... parts) {
-        return new Route("/", "s", Route.STATUS, 0, true, null, null, List.of(parts), true, 0, 0, 0, 0, null);
+        return new Route("/", "s", RouteMode.STATUS, 0, true, null, null, List.of(parts), true, 0, 0, 0, 0, null);
     }
 
     @Test
--- a/control/src/test/java/org/rowanvalve/control/operator/ConfigurationServiceTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/ConfigurationServiceTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
-import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.voting.VoterFixture;
 
 /** The product's own interface, for what came with hosts, tags and services of the open kind. */
@@ -26,7 +26,7 @@
         return said.get(0);
     }
 
-    private ApiResponse announce(final String kind) {
+    private ApiResponse announce(final ServiceKind kind) {
         said.clear();
         clerk.announceOrigin(
                 "o1",
@@ -76,15 +76,15 @@
     @Test
     void originsOfEveryKindOfServiceAreAnnounced() {
         net.confirm();
-        for (final String kind : List.of(Service.OPEN, Service.BOOKING)) {
+        for (final ServiceKind kind : List.of(ServiceKind.OPEN, ServiceKind.BOOKING)) {
             put(
                     ItemKind.SERVICE,
                     "s",
                     "{\"kind\":\"" + kind + "\"}",
                     net.items.get(new ItemId(ItemKind.SERVICE, "s")).version().number());
-            assertEquals(200, announce(kind).status(), kind);
+            assertEquals(200, announce(kind).status(), kind.code());
             assertEquals(1, net.configuration.liveOrigins("s", net.loop.now()).size());
         }
-        assertEquals(422, announce(Service.OPEN).status(), "the service is of another kind now");
+        assertEquals(422, announce(ServiceKind.OPEN).status(), "the service is of another kind now");
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/ConfigurationUpdateTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/ConfigurationUpdateTest.java
@@ -14,6 +14,7 @@
 import org.rowanvalve.common.model.ValidationError;
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.voting.VoterFixture;
 
 /** A call is checked whole, and each name's highest version holds. */
@@ -50,13 +51,13 @@
         assertEquals(
                 List.of("/set/routes/r/service: no service is named s"),
                 told("{\"set\":{\"routes\":{\"r\":" + ROUTE + "}}}"));
-        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
+        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service(ServiceKind.OPEN, 0, 1, 1000, 0, 0, ""));
         assertEquals(List.of(), told("{\"set\":{\"routes\":{\"r\":" + ROUTE + "}}}"));
     }
 
     @Test
     void aServiceThatASplitNamesWithWeightZeroMustBeKnownToo() {
-        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service("open", 0, 1, 1000, 0, 0, ""));
+        net.put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service(ServiceKind.OPEN, 0, 1, 1000, 0, 0, ""));
         final String split = ROUTE.replace(
                 "\"service\":\"s\"", "\"split\":[{\"service\":\"s\",\"weight\":1},{\"service\":\"t\",\"weight\":0}]");
         assertEquals(
--- a/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
@@ -11,6 +11,7 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.voting.VoterFixture;
 
@@ -23,7 +24,7 @@
     private final List<ApiResponse> said = new ArrayList<>();
 
     private static Origin at(final long beat, final boolean leaving, final int slots, final long cold) {
-        return new Origin("s", "10.0.0.1", 80, "i1", "open", 0, 0, leaving, beat, "r/z", slots, cold);
+        return new Origin("s", "10.0.0.1", 80, "i1", ServiceKind.OPEN, 0, 0, leaving, beat, "r/z", slots, cold);
     }
 
     private int beat(final Origin origin) {
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateServiceTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateServiceTest.java
@@ -18,6 +18,7 @@
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.control.config.Purge;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.voting.VoterFixture;
 
@@ -77,7 +78,7 @@
                 new Item(
                         new ItemId(ItemKind.SERVICE, "s"),
                         new Version(1),
-                        Json.write(new Service("open", 0, 1, 1000, 0, 0, "")),
+                        Json.write(new Service(ServiceKind.OPEN, 0, 1, 1000, 0, 0, "")),
                         false,
                         "")));
         assertEquals(200, patch(route, 100), "the service was stated at another node a moment ago");
--- a/data/src/main/java/org/rowanvalve/data/edge/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -15,7 +15,7 @@
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.ConfiguredRoute;
 import org.rowanvalve.control.config.RequestLimits;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.data.cache.Cache;
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.data.request.ClientResponse;
@@ -89,10 +89,10 @@
         if (route.route().purgeable()) {
             list.add(Step.VIEW);
         }
-        switch (route.route().mode()) {
-            case Route.CACHED -> list.addAll(List.of(Step.LOOK_UP, Step.COALESCE));
-            case Route.KEYED -> list.add(Step.KEY);
-            default -> {}
+        if (route.route().hasMode(RouteMode.CACHED)) {
+            list.addAll(List.of(Step.LOOK_UP, Step.COALESCE));
+        } else if (route.route().hasMode(RouteMode.KEYED)) {
+            list.add(Step.KEY);
         }
         list.add(Step.FORWARD);
         return list;
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -7,9 +7,10 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.rowanvalve.common.message.ForwardResponse;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.control.config.ConfiguredRoute;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.data.cache.CachedResponse;
 import org.rowanvalve.data.request.ByteRange;
 import org.rowanvalve.data.request.ClientRequest;
@@ -37,9 +38,10 @@
             final ConfiguredRoute route,
             final Consumer<ClientResponse> callback) {
         this.edge = edge;
-        this.request = route.route().hasMode(Route.CACHED) && request.method().equals("GET")
-                ? request.withoutConditions()
-                : request;
+        this.request =
+                route.route().hasMode(RouteMode.CACHED) && request.method().equals("GET")
+                        ? request.withoutConditions()
+                        : request;
         this.route = route;
         this.callback = callback;
         this.cacheKey = ShardRouting.cacheKey(route, request.path(), null);
@@ -87,13 +89,13 @@
         return marginMs;
     }
 
-    boolean hasMode(final String mode) {
-        return route.route().mode().equals(mode);
+    boolean hasMode(final RouteMode mode) {
+        return route.route().hasMode(mode);
     }
 
     /** Whether it may be sent to origins at most once. */
     boolean isAtMostOnce() {
-        return hasMode(Route.KEYED) || hasMode(Route.AT_MOST_ONCE);
+        return hasMode(RouteMode.KEYED) || hasMode(RouteMode.AT_MOST_ONCE);
     }
 
     void execute() {
@@ -117,7 +119,7 @@
     }
 
     private boolean runStep(final Edge.Step step) {
-        final boolean post = hasMode(Route.KEYED);
+        final boolean post = hasMode(RouteMode.KEYED);
         return switch (step) {
             case METHOD ->
                 !route.route().anyShield()
@@ -145,11 +147,13 @@
 
     /** What needs no right to fill goes on where nothing newer can be known; copies that may have been purged do not. */
     private boolean onStaleView() {
-        if (route.route().anyShield() && !hasMode(Route.KEYED) && edge.routing().isWithoutQuorum()) {
+        if (route.route().anyShield()
+                && !hasMode(RouteMode.KEYED)
+                && edge.routing().isWithoutQuorum()) {
             forwarding.passThrough(ClientResponse.reject(503, "the frame is not confirmed", 500));
             return true;
         }
-        return route.route().anyShield() && hasMode(Route.KEYED)
+        return route.route().anyShield() && hasMode(RouteMode.KEYED)
                 ? false
                 : reject(503, "the frame is not confirmed", 1000);
     }
@@ -180,7 +184,7 @@
         headers.put("Age", String.valueOf((now() - copy.filledAt()) / 1000));
         headers.put("Rv-Cache", cacheResult);
         finish(ByteRange.apply(
-                new ClientResponse(copy.status(), ClientResponse.DONE, headers, copy.body()), request.range()));
+                new ClientResponse(copy.status(), RequestOutcome.DONE, headers, copy.body()), request.range()));
     }
 
     /** A flight serves whoever asks under its mark or an older one; a newer mark starts the next flight. */
@@ -230,10 +234,10 @@
 
     /** An origin's answer for all who wait; false where it was purged on its way and gives nothing to anybody. */
     boolean onFilled(final long sentAt, final ForwardResponse filled) {
-        if (!hasMode(Route.CACHED) || filled.versions() == null) {
+        if (!hasMode(RouteMode.CACHED) || filled.versions() == null) {
             final ClientResponse response =
-                    new ClientResponse(filled.status(), ClientResponse.DONE, filled.headers(), filled.body());
-            if (hasMode(Route.CACHED)) {
+                    new ClientResponse(filled.status(), RequestOutcome.DONE, filled.headers(), filled.body());
+            if (hasMode(RouteMode.CACHED)) {
                 takeWaiters().forEach(waiter -> waiter.finish(ByteRange.apply(response, waiter.request.range())));
             } else {
                 finishAll(response, false);
@@ -263,7 +267,8 @@
 
     /** When no fill can be had, a copy just past its lifetime is better than none, as long as the frame is sure. */
     private CachedResponse staleCopy() {
-        return hasMode(Route.CACHED) && (edge.isViewFresh() || !route.route().purgeable())
+        return hasMode(RouteMode.CACHED)
+                        && (edge.isViewFresh() || !route.route().purgeable())
                 ? edge.cache()
                         .findUsable(cacheKey, now(), edge.view().versionsOf(route, request.path()))
                         .orElse(null)
@@ -272,11 +277,11 @@
 
     /** {@code mayHaveRun}: an earlier way may have sent it, so that no refusal can promise that it has not run. */
     void finishAll(final ClientResponse response, final boolean mayHaveRun) {
-        final ClientResponse a = mayHaveRun && isAtMostOnce() && response.fate().equals(ClientResponse.REFUSED)
+        final ClientResponse a = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
                 ? ClientResponse.unsure("an earlier way may have sent it")
                 : response;
         final List<EdgeRequest> waiters = takeWaiters();
-        final CachedResponse stale = a.fate().equals(ClientResponse.DONE) ? null : staleCopy();
+        final CachedResponse stale = a.fate() == RequestOutcome.DONE ? null : staleCopy();
         waiters.forEach(waiter -> {
             if (stale == null) {
                 waiter.finish(a);
--- a/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
@@ -11,8 +11,9 @@
 import org.rowanvalve.common.message.Reply;
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.control.config.ConfiguredRoute;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.data.origin.OriginDispatch;
 import org.rowanvalve.data.origin.OriginRequest;
@@ -100,7 +101,7 @@
         return edge.loop().now();
     }
 
-    private boolean hasMode(final String mode) {
+    private boolean hasMode(final RouteMode mode) {
         return request.hasMode(mode);
     }
 
@@ -114,8 +115,8 @@
 
     void start() {
         if (mayUseAnyShield()
-                && !hasMode(Route.KEYED)
-                && !(hasMode(Route.CACHED) && clientRequest.method().equals("GET"))) {
+                && !hasMode(RouteMode.KEYED)
+                && !(hasMode(RouteMode.CACHED) && clientRequest.method().equals("GET"))) {
             passThrough(ClientResponse.reject(503, "no shield is heard of", 300));
         } else {
             askHolder(ClientResponse.reject(503, "no attempt is left", 1000));
@@ -124,7 +125,7 @@
 
     /** {@code lastResponse}: what to answer where nobody may be asked any more. */
     private void askHolder(final ClientResponse lastResponse) {
-        if (!attempts.anyLeft() && !hasMode(Route.KEYED)) {
+        if (!attempts.anyLeft() && !hasMode(RouteMode.KEYED)) {
             finish(lastResponse);
             return;
         }
@@ -156,7 +157,7 @@
                 false,
                 Math.max(100, deadline - sentAt),
                 reply -> onHolderResponse(shard, sentAt, reply));
-        if (mayUseAnyShield() && hasMode(Route.CACHED)) {
+        if (mayUseAnyShield() && hasMode(RouteMode.CACHED)) {
             final int requestNumber = requestsSent;
             watchShield(assignment.ownerId(), sentAt, () -> passingThrough || requestsSent != requestNumber);
         }
@@ -210,7 +211,7 @@
         edge.loop().schedule(WATCH_INTERVAL_MS, () -> {
             if (request.finished()
                     || answered.getAsBoolean()
-                    || hasMode(Route.AT_MOST_ONCE)
+                    || hasMode(RouteMode.AT_MOST_ONCE)
                     || now() + WATCH_INTERVAL_MS >= deadline) {
                 return;
             }
@@ -241,7 +242,7 @@
             return;
         }
         if (shield == null || tooLate || !attempts.anyLeft()) {
-            if (openPassThroughs == 0 || shield == null && !hasMode(Route.AT_MOST_ONCE)) {
+            if (openPassThroughs == 0 || shield == null && !hasMode(RouteMode.AT_MOST_ONCE)) {
                 finish(fallback);
             }
             return;
@@ -261,7 +262,7 @@
 
     /** No shield is heard of at all: it goes to an origin from here, within the part of the ceiling that is for this. */
     private void sendDirectly(final ClientResponse fallback) {
-        final String shield = route.route()
+        final String service = route.route()
                 .pickService(Hash.hash64(
                         clientRequest.requestId().isEmpty()
                                 ? clientRequest.path() + edge.nextSerial()
@@ -269,7 +270,7 @@
         final OriginRequest originRequest = new OriginRequest(
                 OriginRequest.NO_SHARD,
                 new OriginTransport.OutboundRequest(
-                        shield,
+                        service,
                         clientRequest.method(),
                         clientRequest.path(),
                         clientRequest.requestId(),
@@ -278,19 +279,19 @@
                         clientRequest.contentType(),
                         0,
                         clientRequest.headers()),
-                hasMode(Route.AT_MOST_ONCE),
+                hasMode(RouteMode.AT_MOST_ONCE),
                 deadline - marginMs,
                 route.route().priority(),
                 attempts.localAllowance(),
                 false);
-        edge.routing().directDispatcher().send(originRequest, sentAt -> {
-            if (sentAt.response().result() == OriginTransport.ExchangeResult.COMPLETE) {
-                deliver(now(), completed(sentAt.response()));
+        edge.routing().directDispatcher().send(originRequest, completion -> {
+            if (completion.response().result() == OriginTransport.ExchangeResult.COMPLETE) {
+                deliver(now(), completed(completion.response()));
             } else {
-                mayHaveRun |= sentAt.mayHaveRun();
+                mayHaveRun |= completion.mayHaveRun();
                 finish(
-                        sentAt.mayHaveRun()
-                                ? ClientResponse.unsure(sentAt.response().reason())
+                        completion.mayHaveRun()
+                                ? ClientResponse.unsure(completion.response().reason())
                                 : fallback);
             }
         });
@@ -298,7 +299,7 @@
 
     private static ForwardResponse completed(final OriginTransport.OriginResponse response) {
         return new ForwardResponse(
-                ClientResponse.DONE,
+                RequestOutcome.DONE,
                 "",
                 response.status(),
                 null,
@@ -319,21 +320,21 @@
         if (filled == null) {
             if (reply.failure() == Reply.Failure.NOT_SENT) {
                 passThrough(ClientResponse.reject(503, "no shield can be reached", 300));
-            } else if (!hasMode(Route.AT_MOST_ONCE)) {
+            } else if (!hasMode(RouteMode.AT_MOST_ONCE)) {
                 passThrough(ClientResponse.unsure("no shield answered"));
             } else {
                 finish(ClientResponse.unsure("the shield did not answer"));
             }
-        } else if (filled.fate().equals(ClientResponse.DONE)) {
+        } else if (filled.fate() == RequestOutcome.DONE) {
             deliver(now(), filled);
-        } else if (filled.fate().equals(ClientResponse.REFUSED)
+        } else if (filled.fate() == RequestOutcome.REFUSED
                 && filled.status() == 503
                 && filled.retryAfterMs() == 500
                 && askedShields.size() < 3) {
             passThrough(ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs()));
         } else if (openPassThroughs == 0) {
             finish(
-                    filled.fate().equals(ClientResponse.REFUSED)
+                    filled.fate() == RequestOutcome.REFUSED
                             ? ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs())
                             : ClientResponse.unsure(filled.reason()));
         }
@@ -341,14 +342,14 @@
 
     private void recordUncertainty(final Reply reply, final ForwardResponse filled) {
         mayHaveRun |= filled == null && reply.failure() != Reply.Failure.NOT_SENT
-                || filled != null && filled.fate().equals(ClientResponse.UNKNOWN);
+                || filled != null && filled.fate() == RequestOutcome.UNKNOWN;
     }
 
     /** No holder to ask: a read is passed through where its route allows it. */
     private void onNoHolder(final ClientResponse fallback) {
-        if (!passingThrough && mayUseAnyShield() && hasMode(Route.CACHED)) {
+        if (!passingThrough && mayUseAnyShield() && hasMode(RouteMode.CACHED)) {
             passThrough(fallback);
-        } else if (mayUseAnyShield() && hasMode(Route.KEYED)) {
+        } else if (mayUseAnyShield() && hasMode(RouteMode.KEYED)) {
             retry(fallback);
         } else {
             finish(fallback);
@@ -363,13 +364,13 @@
         recordUncertainty(reply, filled);
         if (filled == null) {
             onHolderSilent(reply.failure());
-        } else if (filled.fate().equals(ClientResponse.REFUSED)) {
+        } else if (filled.fate() == RequestOutcome.REFUSED) {
             onRefused(filled);
         } else if (filled.token().isBelow(edge.highestToken(shard))) {
             onStaleToken(shard, filled);
         } else {
             edge.recordToken(shard, filled.token());
-            if (filled.fate().equals(ClientResponse.UNKNOWN)) {
+            if (filled.fate() == RequestOutcome.UNKNOWN) {
                 finish(ClientResponse.unsure(filled.reason()));
             } else {
                 deliver(sentAt, filled);
@@ -381,7 +382,7 @@
         final ClientResponse uncertain = ClientResponse.unsure("the holder did not answer");
         if (failure == Reply.Failure.NOT_SENT) {
             retry(ClientResponse.reject(503, "the holder cannot be reached", 1000));
-        } else if (mayUseAnyShield() && hasMode(Route.CACHED)) {
+        } else if (mayUseAnyShield() && hasMode(RouteMode.CACHED)) {
             onNoHolder(uncertain);
         } else if (mayUseAnyShield()) {
             retry(uncertain);
@@ -413,7 +414,7 @@
                         filled.token().toString(),
                         "known",
                         edge.highestToken(shard).toString()));
-        if (hasMode(Route.KEYED)) {
+        if (hasMode(RouteMode.KEYED)) {
             finish(ClientResponse.unsure("the answer came from an earlier holder"));
         } else {
             retry(ClientResponse.reject(503, "the answer came from an earlier holder", 500));
@@ -431,10 +432,11 @@
         if (request.finished() || request.handOver()) {
             return;
         }
-        final boolean mayRetryKeyed =
-                mayUseAnyShield() && hasMode(Route.KEYED) && now() - request.startedAt() < partOfTime(KEYED_PATIENCE);
+        final boolean mayRetryKeyed = mayUseAnyShield()
+                && hasMode(RouteMode.KEYED)
+                && now() - request.startedAt() < partOfTime(KEYED_PATIENCE);
         final long delayMs = 60L * Math.max(1, Math.min(4, requestsSent));
-        final boolean isRead = mayUseAnyShield() && hasMode(Route.CACHED) && !passingThrough;
+        final boolean isRead = mayUseAnyShield() && hasMode(RouteMode.CACHED) && !passingThrough;
         if (isRead && now() + delayMs - request.startedAt() > holderPatience()) {
             passThrough(lastResponse);
         } else if (requestsSent >= MAX_HOLDER_REQUESTS && !mayRetryKeyed || now() + delayMs + 200 >= deadline) {
@@ -448,8 +450,8 @@
         }
     }
 
-    private double partOfTime(final double assignment) {
-        return (deadline - request.startedAt()) * assignment;
+    private double partOfTime(final double part) {
+        return (deadline - request.startedAt()) * part;
     }
 
     private double holderPatience() {
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -16,6 +16,7 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.lease.LeaseHolder;
@@ -24,7 +25,6 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.origin.OriginTransport;
-import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.data.request.EndToEndHeaders;
 
 /** Keyed requests: the intent stands at a majority of keepers before a byte leaves for the origin. */
@@ -78,7 +78,7 @@
     }
 
     public static ForwardResponse response(
-            final String fate,
+            final RequestOutcome fate,
             final int status,
             final String reason,
             final FencingToken token,
@@ -99,7 +99,7 @@
                 patienceMs,
                 () -> run(shard, key, digest, sendAction, callback),
                 () -> callback.accept(response(
-                        ClientResponse.REFUSED, 503, "too few keepers could be read yet", shard.token(), 1000)));
+                        RequestOutcome.REFUSED, 503, "too few keepers could be read yet", shard.token(), 1000)));
     }
 
     private KeyedShard shard(final int shardNumber) {
@@ -147,7 +147,7 @@
                 found != null && found.notSent && !found.digest().equals(digest) ? null : found;
         if (known != null && !known.digest().equals(digest)) {
             callback.accept(
-                    response(ClientResponse.REFUSED, 422, "the key was used with another body", shard.token(), 0));
+                    response(RequestOutcome.REFUSED, 422, "the key was used with another body", shard.token(), 0));
         } else if (known != null && known.hasBodyElsewhere()) {
             known.addWaiter(callback);
             fetchOutcome(shard, key, known);
@@ -157,7 +157,7 @@
             known.addWaiter(callback);
         } else if (known != null && !known.notSent) {
             callback.accept(response(
-                    ClientResponse.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
+                    RequestOutcome.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
         } else {
             final KeyedEntry entry = known == null ? new KeyedEntry(digest, loop.now()) : known;
             entry.inProgress = true;
@@ -182,7 +182,7 @@
                         entry.respond(completed(shard, outcome));
                     } else {
                         entry.respond(response(
-                                ClientResponse.UNKNOWN,
+                                RequestOutcome.UNKNOWN,
                                 504,
                                 "the key ran, but its outcome could not be fetched",
                                 shard.token(),
@@ -194,7 +194,7 @@
 
     private static ForwardResponse completed(final KeyedShard shard, final KeyedOutcome outcome) {
         return new ForwardResponse(
-                ClientResponse.DONE,
+                RequestOutcome.DONE,
                 "",
                 outcome.status(),
                 shard.token(),
@@ -229,13 +229,13 @@
                         shard,
                         key,
                         entry,
-                        response(ClientResponse.REFUSED, 503, "the intent could not be recorded", shard.token(), 1000));
+                        response(RequestOutcome.REFUSED, 503, "the intent could not be recorded", shard.token(), 1000));
             } else if (!leases.token(shard.number()).equals(shard.token())) {
                 release(
                         shard,
                         key,
                         entry,
-                        response(ClientResponse.REFUSED, 503, "the right to send moved", shard.token(), 300));
+                        response(RequestOutcome.REFUSED, 503, "the right to send moved", shard.token(), 300));
             } else {
                 sendAction.send(completion -> onCompletion(shard, key, entry, completion));
             }
@@ -249,7 +249,7 @@
         entry.outcome = entry.foreignRecord.outcome();
         entry.foreignRecord = null;
         entry.respond(response(
-                ClientResponse.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
+                RequestOutcome.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
     }
 
     /** Nothing left this node: it may run the key later, and so may the next holder once a keeper tells it so. */
@@ -288,14 +288,14 @@
             entry.inProgress = false;
             entry.notSent = false;
             entry.respond(response(
-                    ClientResponse.UNKNOWN, 504, "outcome unknown: the origin's answer was lost", shard.token(), 0));
+                    RequestOutcome.UNKNOWN, 504, "outcome unknown: the origin's answer was lost", shard.token(), 0));
         } else {
             final long retryAfterMs = Math.max(1000, completion.retryAfterMs());
             release(
                     shard,
                     key,
                     entry,
-                    response(ClientResponse.REFUSED, 503, originResponse.reason(), shard.token(), retryAfterMs));
+                    response(RequestOutcome.REFUSED, 503, originResponse.reason(), shard.token(), retryAfterMs));
         }
     }
 
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -113,7 +113,7 @@
             node.leaseHolder()
                     .leases()
                     .forEach((shard, lease) ->
-                            leases.put(String.valueOf(shard), lease.state().name() + " " + lease.token()));
+                            leases.put(String.valueOf(shard), lease.state().code() + " " + lease.token()));
         }
         report.put("leases", leases);
         final Map<String, Object> origins = new TreeMap<>();
--- a/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
@@ -2,6 +2,7 @@
 
 import org.rowanvalve.control.config.ConfiguredRoute;
 import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.placement.PlacementPlan;
 
 /** Which shard an object or an operation belongs to; the same on every node. */
@@ -11,7 +12,7 @@
     /** An object's or operation's name; the same on every node. */
     public static String cacheKey(final ConfiguredRoute route, final String path, final String key) {
         return route.route()
-                .cacheKeyOf(route.name(), route.route().hasMode(Route.KEYED) && key != null ? "#" + key : path);
+                .cacheKeyOf(route.name(), route.route().hasMode(RouteMode.KEYED) && key != null ? "#" + key : path);
     }
 
     /**
@@ -30,10 +31,10 @@
             return PlacementPlan.shardOf(
                     route.name(),
                     configured.service(),
-                    configured.hasMode(Route.KEYED) && key != null ? key : path,
+                    configured.hasMode(RouteMode.KEYED) && key != null ? key : path,
                     shards);
         }
-        final boolean regional = configured.hasMode(Route.CACHED) && regionCount > 1 && shards >= regionCount;
+        final boolean regional = configured.hasMode(RouteMode.CACHED) && regionCount > 1 && shards >= regionCount;
         return regional
                 ? PlacementPlan.shardOf("", "", cacheKey(route, path, key), shards / regionCount) * regionCount + region
                 : PlacementPlan.shardOf("", "", cacheKey(route, path, key), shards);
--- a/data/src/main/java/org/rowanvalve/data/shield/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -15,12 +15,13 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.ConfiguredRoute;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.lease.LeaseHolder;
 import org.rowanvalve.data.cache.Cache;
 import org.rowanvalve.data.cache.CachedResponse;
@@ -29,7 +30,6 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.origin.OriginRequest;
 import org.rowanvalve.data.origin.OriginTransport;
-import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.data.request.EndToEndHeaders;
 import org.rowanvalve.data.routing.ShardRouting;
 import org.rowanvalve.data.settings.NodeSettings;
@@ -93,7 +93,7 @@
     private ForwardResponse reject(
             final ForwardRequest request, final int status, final String reason, final long retryAfterMs) {
         return KeyedRequests.response(
-                ClientResponse.REFUSED, status, reason, leases.token(request.shard()), retryAfterMs);
+                RequestOutcome.REFUSED, status, reason, leases.token(request.shard()), retryAfterMs);
     }
 
     /** {@code from}: the edge that keeps count of the request's attempts. */
@@ -111,7 +111,7 @@
     private long patienceMs(final ForwardRequest request) {
         final long targetMs = configuration
                 .routeNamed(request.route())
-                .filter(reply -> reply.route().hasMode(Route.CACHED))
+                .filter(configured -> configured.route().hasMode(RouteMode.CACHED))
                 .map(reply -> reply.route().latencyTargetMs())
                 .orElse(0L);
         return Math.min(
@@ -170,12 +170,12 @@
             callback.accept(reject(request, 503, "not the holder", 500));
         } else if (route.route().purgeable() && !viewFresh.getAsBoolean()) {
             callback.accept(reject(request, 503, "the holder's frame is not confirmed", 1000));
+        } else if (route.route().hasMode(RouteMode.CACHED)) {
+            fillCached(call, route, versions, deadline, callback);
+        } else if (route.route().hasMode(RouteMode.KEYED)) {
+            runKeyed(call, route, deadline, callback);
         } else {
-            switch (route.route().mode()) {
-                case Route.CACHED -> fillCached(call, route, versions, deadline, callback);
-                case Route.KEYED -> runKeyed(call, route, deadline, callback);
-                default -> sendThrough(call, route, deadline, callback);
-            }
+            sendThrough(call, route, deadline, callback);
         }
     }
 
@@ -186,11 +186,11 @@
             final long deadline,
             final Consumer<ForwardResponse> callback) {
         final ForwardRequest request = call.forward();
-        if (!route.route().anyShield() || route.route().hasMode(Route.KEYED)) {
+        if (!route.route().anyShield() || route.route().hasMode(RouteMode.KEYED)) {
             callback.accept(reject(request, 503, "this route needs the right to fill", 500));
             return;
         }
-        final boolean atMostOnce = route.route().hasMode(Route.AT_MOST_ONCE);
+        final boolean atMostOnce = route.route().hasMode(RouteMode.AT_MOST_ONCE);
         dispatcher.send(
                 originRequest(call, route, OriginRequest.NO_SHARD, atMostOnce, deadline),
                 completion -> callback.accept(
@@ -201,7 +201,7 @@
 
     private ForwardResponse completed(final ForwardRequest request, final OriginTransport.OriginResponse response) {
         return new ForwardResponse(
-                ClientResponse.DONE,
+                RequestOutcome.DONE,
                 "",
                 response.status(),
                 leases.token(request.shard()),
@@ -340,7 +340,7 @@
 
     private ForwardResponse respondFrom(final ForwardRequest request, final CachedResponse copy) {
         return new ForwardResponse(
-                ClientResponse.DONE,
+                RequestOutcome.DONE,
                 "",
                 copy.status(),
                 leases.token(request.shard()),
@@ -353,7 +353,7 @@
     }
 
     private ForwardResponse failed(final ForwardRequest request, final OriginDispatcher.Completion completion) {
-        final String fate = completion.mayHaveRun() ? ClientResponse.UNKNOWN : ClientResponse.REFUSED;
+        final RequestOutcome fate = completion.mayHaveRun() ? RequestOutcome.UNKNOWN : RequestOutcome.REFUSED;
         return KeyedRequests.response(
                 fate,
                 completion.mayHaveRun() ? 502 : 503,
@@ -370,7 +370,8 @@
         final ForwardRequest request = call.forward();
         if (mayFill(request, callback)) {
             dispatcher.send(
-                    originRequest(call, route, request.shard(), route.route().hasMode(Route.AT_MOST_ONCE), deadline),
+                    originRequest(
+                            call, route, request.shard(), route.route().hasMode(RouteMode.AT_MOST_ONCE), deadline),
                     completion -> callback.accept(
                             completion.response().result() == OriginTransport.ExchangeResult.COMPLETE
                                     ? completed(request, completion.response())
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
@@ -19,12 +19,15 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.control.store.ItemStore;
@@ -95,30 +98,30 @@
 
     @BeforeEach
     void begin() {
-        put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service("open", 0, 1000, 5000, 0, 0, ""));
-        for (final String m : List.of(Route.CACHED, Route.STATUS, Route.KEYED, Route.AT_MOST_ONCE)) {
+        put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
+        for (final RouteMode m : List.of(RouteMode.CACHED, RouteMode.STATUS, RouteMode.KEYED, RouteMode.AT_MOST_ONCE)) {
             put(
-                    new ItemId(ItemKind.ROUTE, m),
+                    new ItemId(ItemKind.ROUTE, m.code()),
                     1,
                     new Route("/" + m + "/", "s", m, 1000, true, "", "h", List.of(), true, 2000, 0, 0, 3, ""));
         }
         put(ItemId.PLAN, 1, new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("n1", 1, 1))));
     }
 
-    void aim(final String mode, final long ms) {
+    void aim(final RouteMode mode, final long ms) {
         put(
-                new ItemId(ItemKind.ROUTE, mode),
+                new ItemId(ItemKind.ROUTE, mode.code()),
                 2,
                 new Route("/" + mode + "/", "s", mode, 1000, true, "", "h", List.of(), true, 2000, ms, 0, 3, ""));
     }
 
-    void ask(final String mode, final String range, final Map<String, String> heads) {
+    void ask(final RouteMode mode, final String range, final Map<String, String> heads) {
         edge.handle(
                 new ClientRequest(
-                        mode.equals(Route.KEYED) || mode.equals(Route.AT_MOST_ONCE) ? "POST" : "GET",
+                        mode == RouteMode.KEYED || mode == RouteMode.AT_MOST_ONCE ? "POST" : "GET",
                         "h",
                         "/" + mode + "/1",
-                        mode.equals(Route.KEYED) ? "k" : null,
+                        mode == RouteMode.KEYED ? "k" : null,
                         new byte[0],
                         null,
                         "id",
@@ -132,7 +135,7 @@
         loop.run(1);
     }
 
-    void ask(final String mode) {
+    void ask(final RouteMode mode) {
         ask(mode, null, Map.of());
     }
 
@@ -145,18 +148,18 @@
     }
 
     static Reply filled(
-            final String fate, final int status, final String why, final long retry, final VersionVector mark) {
+            final RequestOutcome fate, final int status, final String why, final long retry, final VersionVector mark) {
         return Reply.of(new ForwardResponse(
                 fate, why, status, new FencingToken(1, 1), Map.of(), why.getBytes(), 0, mark, retry, "s"));
     }
 
     static Reply good(final String body) {
-        return filled(ClientResponse.DONE, 200, body, 0, null);
+        return filled(RequestOutcome.DONE, 200, body, 0, null);
     }
 
     /** A refusal says that the attempt given with the request was not used. */
     static Reply refused(final long retry) {
-        return Reply.of(filled(ClientResponse.REFUSED, 503, "no", retry, null)
+        return Reply.of(filled(RequestOutcome.REFUSED, 503, "no", retry, null)
                 .as(ForwardResponse.class)
                 .orElseThrow()
                 .withUnusedAttempts(1));
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeReadsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeReadsTest.java
@@ -12,9 +12,10 @@
 import org.rowanvalve.common.message.Reply;
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.control.config.Purge;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.data.origin.OriginDispatch;
 import org.rowanvalve.data.request.ClientResponse;
 
@@ -23,17 +24,17 @@
     @Test
     void readsGoOnWithoutAHolderUnkept() {
         near.remove(N1);
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         assertTrue(at(0).fill().passThrough());
         back(0, good("x"));
         assertEquals(200, status());
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         assertEquals(2, asked.size(), "not kept");
     }
 
     @Test
     void readsGoOnWhereTheHolderFallsSilent() {
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         assertFalse(at(0).fill().passThrough());
         silence.put(N1, 1000L);
         loop.run(350);
@@ -49,14 +50,14 @@
 
     @Test
     void aCopyServesAllWhoWaitAndWhoComesLaterAlsoInParts() {
-        ask(Route.CACHED);
-        ask(Route.CACHED, "bytes=1-2", Map.of());
+        ask(RouteMode.CACHED);
+        ask(RouteMode.CACHED, "bytes=1-2", Map.of());
         assertEquals(1, asked.size());
-        back(0, filled(ClientResponse.DONE, 200, "abcd", 0, mark()));
+        back(0, filled(RequestOutcome.DONE, 200, "abcd", 0, mark()));
         assertEquals(
                 List.of(200, 206), said.stream().map(ClientResponse::status).toList());
-        ask(Route.CACHED, "bytes=9-", Map.of());
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED, "bytes=9-", Map.of());
+        ask(RouteMode.CACHED);
         assertEquals(
                 List.of(200, 206, 416, 200),
                 said.stream().map(ClientResponse::status).toList());
@@ -66,41 +67,41 @@
 
     @Test
     void whatWasPurgedWhileItWasFilledIsFilledAnew() {
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         put(new ItemId(ItemKind.PURGE, "h.1"), 4, new Purge(null, "/cached/1", null, "h", null));
-        back(0, filled(ClientResponse.DONE, 200, "old", 0, new VersionVector(Map.of())));
+        back(0, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(Map.of())));
         loop.run(70);
         assertEquals(Map.of("p/h.1", 4L), at(1).fill().versions().versions());
         put(new ItemId(ItemKind.PURGE, "t.1"), 5, new Purge(null, null, null, null, "t1"));
         final Map<String, Long> tagged = new HashMap<>(mark().versions());
         tagged.put("t/t1", 0L);
-        back(1, filled(ClientResponse.DONE, 200, "old", 0, new VersionVector(tagged)));
+        back(1, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(tagged)));
         loop.run(130);
         tagged.put("t/t1", 5L);
-        back(2, filled(ClientResponse.DONE, 200, "new", 0, new VersionVector(tagged)));
+        back(2, filled(RequestOutcome.DONE, 200, "new", 0, new VersionVector(tagged)));
         assertEquals("new", new String(said.get(0).body()));
         assertEquals(1, said.size());
         put(new ItemId(ItemKind.PURGE, "t.1"), 6, new Purge(null, null, null, null, "t1"));
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         assertEquals(4, asked.size(), "the kept copy has that tag");
     }
 
     /** What one caller has already is no answer for another who waits for the same fill. */
     @Test
     void oneCallersConditionsDoNotGoWithAFillForMany() {
-        ask(Route.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
+        ask(RouteMode.CACHED);
         assertEquals(Map.of("Accept-Language", "sw"), at(0).fill().headers());
-        ask(Route.STATUS, null, Map.of("If-None-Match", "\"v1\""));
+        ask(RouteMode.STATUS, null, Map.of("If-None-Match", "\"v1\""));
         assertEquals(Map.of("If-None-Match", "\"v1\""), at(1).fill().headers());
     }
 
     /** It answers, and may not fill: a read is worth less with each moment, so it goes on without the right. */
     @Test
     void aReadWaitsForAHolderThatMayNotFillForAQuarterOfItsAimAtMost() {
-        aim(Route.CACHED, 400);
+        aim(RouteMode.CACHED, 400);
         final long begun = loop.now();
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         back(0, refused(500));
         loop.run(70);
         assertFalse(at(1).fill().passThrough(), "it may have got the right meanwhile");
@@ -113,15 +114,15 @@
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         back(0, refused(1000));
         assertTrue(at(1).fill().passThrough(), "at once where the holder needs longer");
     }
 
     @Test
     void aReadThatNobodyMayFillIsRefusedAtOnceWithWhenToComeBack() {
-        aim(Route.CACHED, 400);
-        ask(Route.CACHED);
+        aim(RouteMode.CACHED, 400);
+        ask(RouteMode.CACHED);
         near.clear();
         final long begun = loop.now();
         back(0, refused(1000));
@@ -133,10 +134,10 @@
     /** Passed through by another shield it would cost as much of the ceiling and be kept by nobody. */
     @Test
     void aReadForWhichTheCeilingHasNoRoomIsRefusedAtOnce() {
-        ask(Route.CACHED);
+        ask(RouteMode.CACHED);
         back(
                 0,
-                Reply.of(filled(ClientResponse.REFUSED, 503, OriginDispatch.RATE_EXHAUSTED, 1000, null)
+                Reply.of(filled(RequestOutcome.REFUSED, 503, OriginDispatch.RATE_EXHAUSTED, 1000, null)
                         .as(ForwardResponse.class)
                         .orElseThrow()
                         .withUnusedAttempts(1)));
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
@@ -14,9 +14,11 @@
 import org.rowanvalve.common.model.Member;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.control.config.Origin;
-import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.data.origin.AnsweringOrigins;
 import org.rowanvalve.data.origin.OriginDispatcher;
@@ -29,7 +31,7 @@
 class EdgeTest extends EdgeFixture {
     @Test
     void whatNeedsNoRightGoesThroughTheNearestShield() {
-        ask(Route.STATUS);
+        ask(RouteMode.STATUS);
         assertEquals(N1, at(0).to());
         assertTrue(at(0).fill().passThrough());
         assertFalse(at(0).fill().retry());
@@ -42,36 +44,36 @@
 
     @Test
     void aShieldThatRefusedHasSentNothingSoTheNextIsNoExtraTry() {
-        ask(Route.AT_MOST_ONCE);
+        ask(RouteMode.AT_MOST_ONCE);
         back(0, refused(500));
         back(1, unsent());
         assertEquals(N2, at(1).to());
         assertFalse(at(1).fill().retry() || at(2).fill().retry());
         back(2, refused(500));
         assertEquals(503, status());
-        assertEquals(ClientResponse.REFUSED, said.get(0).fate());
+        assertEquals(RequestOutcome.REFUSED, said.get(0).fate());
     }
 
     @Test
     void aReadIsAskedElsewhereAsAnExtraTryAnythingElseIsNot() {
-        ask(Route.STATUS);
+        ask(RouteMode.STATUS);
         back(0, silent());
         assertTrue(at(1).fill().retry());
         back(1, good("x"));
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Route.AT_MOST_ONCE);
+        ask(RouteMode.AT_MOST_ONCE);
         back(0, silent());
         loop.run(1300);
         assertEquals(1, asked.size());
         assertEquals(504, status());
-        assertEquals(ClientResponse.UNKNOWN, said.get(0).fate());
+        assertEquals(RequestOutcome.UNKNOWN, said.get(0).fate());
     }
 
     @Test
     void aShieldThatFallsSilentIsNotWaitedForByReads() {
-        ask(Route.STATUS);
+        ask(RouteMode.STATUS);
         loop.run(250);
         assertEquals(1, asked.size(), "it is heard from");
         silence.put(N1, 1000L);
@@ -83,14 +85,14 @@
         assertEquals(200, status());
         said.clear();
         asked.clear();
-        ask(Route.AT_MOST_ONCE);
+        ask(RouteMode.AT_MOST_ONCE);
         loop.run(900);
         assertEquals(1, asked.size(), "at most once");
     }
 
     @Test
     void aKeyedRequestIsAskedAgainUnderItsKey() {
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         assertEquals(0, at(0).fill().shard());
         back(0, silent());
         loop.run(70);
@@ -103,7 +105,7 @@
 
     @Test
     void aRefusalPromisesNothingOnceAWayMayHaveSentIt() {
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         back(0, silent());
         loop.run(70);
         for (int i = 1; i < 20 && said.isEmpty(); i++) {
@@ -111,32 +113,32 @@
             loop.run(300);
         }
         assertEquals(504, status());
-        assertEquals(ClientResponse.UNKNOWN, said.get(0).fate());
+        assertEquals(RequestOutcome.UNKNOWN, said.get(0).fate());
     }
 
     @Test
     void aRefusalStandsWhereNothingWasEverSent() {
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         for (int i = 0; i < 20 && said.isEmpty(); i++) {
             back(i, i % 2 == 0 ? unsent() : refused(500));
             loop.run(300);
         }
         assertEquals(503, status());
-        assertEquals(ClientResponse.REFUSED, said.get(0).fate());
+        assertEquals(RequestOutcome.REFUSED, said.get(0).fate());
         assertTrue(said.get(0).retryAfterMs() > 0);
         assertTrue(heard < 10_000 + 1200, "before the caller gives up");
     }
 
     @Test
     void whatTheHolderDoesNotKnowIsUnknown() {
-        ask(Route.KEYED);
-        back(0, filled(ClientResponse.UNKNOWN, 502, "lost", 0, null));
+        ask(RouteMode.KEYED);
+        back(0, filled(RequestOutcome.UNKNOWN, 502, "lost", 0, null));
         assertEquals(504, status());
     }
 
     @Test
     void anEarlierHoldersAnswerIsNoAnswer() {
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         put(ItemId.PLAN, 2, new PlacementPlan(2, 1, List.of(new PlacementPlan.Assignment("n2", 1, 2))));
         back(0, silent());
         loop.run(70);
@@ -148,14 +150,14 @@
     @Test
     void withAStaleFrameOnlyWhatNeedsNoRightGoesOnAndOnlyWhereNobodyCanBeHeard() {
         fresh = false;
-        ask(Route.STATUS);
-        ask(Route.CACHED);
+        ask(RouteMode.STATUS);
+        ask(RouteMode.CACHED);
         assertEquals(
                 List.of(503, 503), said.stream().map(ClientResponse::status).toList());
         assertEquals(0, asked.size());
         alone = true;
-        ask(Route.STATUS);
-        ask(Route.CACHED);
+        ask(RouteMode.STATUS);
+        ask(RouteMode.CACHED);
         assertTrue(at(0).fill().passThrough() && at(1).fill().passThrough());
         edge.handle(
                 new ClientRequest("GET", "h", "/nowhere/1", null, new byte[0], null, "id", 1200, null, Map.of()),
@@ -181,14 +183,14 @@
         put(
                 new ItemId(ItemKind.ORIGIN, "o"),
                 1,
-                new Origin("s", "10.0.0.1", 80, "o", "open", 0, 0, false, 1, "z", 4, 0));
-        ask(Route.STATUS);
+                new Origin("s", "10.0.0.1", 80, "o", ServiceKind.OPEN, 0, 0, false, 1, "z", 4, 0));
+        ask(RouteMode.STATUS);
         loop.run(5);
         assertEquals(1, asked.size(), "a shield is there");
         asked.clear();
         near.clear();
-        ask(Route.STATUS);
-        ask(Route.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
+        ask(RouteMode.STATUS);
+        ask(RouteMode.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
         loop.run(5);
         assertEquals(
                 List.of(200, 206), said.stream().map(ClientResponse::status).toList());
@@ -198,7 +200,7 @@
                 sent.stream().map(OriginTransport.OutboundRequest::path).toList());
         assertEquals(Map.of(), sent.get(1).headers());
         assertEquals("id", sent.get(0).requestId());
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         loop.run(1200);
         assertEquals(2, sent.size());
     }
@@ -207,12 +209,12 @@
     void whereNoShieldIsHeardOfTheRefusalComesAtOnce() {
         near.clear();
         final long begun = loop.now();
-        ask(Route.STATUS);
-        ask(Route.CACHED);
+        ask(RouteMode.STATUS);
+        ask(RouteMode.CACHED);
         assertEquals(
                 List.of(503, 503), said.stream().map(ClientResponse::status).toList());
         assertTrue(loop.now() - begun < 10);
-        ask(Route.KEYED);
+        ask(RouteMode.KEYED);
         loop.run(1200);
         assertEquals(503, said.get(2).status());
     }
--- a/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
@@ -29,13 +29,16 @@
 import org.rowanvalve.common.model.Member;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.model.NodeStatus;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.lease.LeaseHolder;
 import org.rowanvalve.control.placement.PlacementPlan;
@@ -229,22 +232,22 @@
     }
 
     private void configure(final int tries) {
-        put(new ItemId(ItemKind.SERVICE, "s"), new Service("open", 0, 1000, 5000, 0, 0, ""));
-        for (final String m : List.of(Route.CACHED, Route.STATUS, Route.AT_MOST_ONCE)) {
+        put(new ItemId(ItemKind.SERVICE, "s"), new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
+        for (final RouteMode m : List.of(RouteMode.CACHED, RouteMode.STATUS, RouteMode.AT_MOST_ONCE)) {
             put(
-                    new ItemId(ItemKind.ROUTE, m),
+                    new ItemId(ItemKind.ROUTE, m.code()),
                     new Route("/" + m + "/", "s", m, 1000, true, "", "h", List.of(), true, 4000, 400, 0, tries, ""));
         }
         put(ItemId.PLAN, new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("n1", 1, 1))));
         for (int i = 0; i < ORIGINS; i++) {
             put(
                     new ItemId(ItemKind.ORIGIN, "o" + i),
-                    new Origin("s", "10.0.0.1", 80, "o" + i, "open", 0, 0, false, 1, "z", 4, 0));
+                    new Origin("s", "10.0.0.1", 80, "o" + i, ServiceKind.OPEN, 0, 0, false, 1, "z", 4, 0));
         }
     }
 
-    private void ask(final String mode, final String id) {
-        final String method = mode.equals(Route.AT_MOST_ONCE) ? "POST" : "GET";
+    private void ask(final RouteMode mode, final String id) {
+        final String method = mode == RouteMode.AT_MOST_ONCE ? "POST" : "GET";
         edge.handle(
                 new ClientRequest(
                         method, "h", "/" + mode + "/" + id, null, new byte[0], null, id, 3000, null, Map.of()),
@@ -261,12 +264,12 @@
         configure(3);
         ends = new OriginTransport.ExchangeResult[] {OriginTransport.ExchangeResult.COMPLETE};
         silence.put(NodeId.of("n1"), 1000L);
-        ask(Route.STATUS, "earns its shield extra attempts");
+        ask(RouteMode.STATUS, "earns its shield extra attempts");
         loop.run(500);
         silence.clear();
         answers.clear();
         ends = new OriginTransport.ExchangeResult[0];
-        ask(Route.STATUS, "a");
+        ask(RouteMode.STATUS, "a");
         loop.run(100);
         assertEquals(1, sent("a"));
         silence.put(NodeId.of("n1"), 1000L);
@@ -278,23 +281,23 @@
     @Test
     void aShieldMakesFurtherAttemptsAsTheEdgeGrantsThem() {
         configure(3);
-        ask(Route.STATUS, "a");
+        ask(RouteMode.STATUS, "a");
         loop.run(3500);
         assertEquals(3, sent("a"), "one more after each silence");
         ends = new OriginTransport.ExchangeResult[] {OriginTransport.ExchangeResult.NOT_EXECUTED};
-        ask(Route.STATUS, "b");
+        ask(RouteMode.STATUS, "b");
         loop.run(3500);
         assertEquals(3, arrivals.get("b").size());
-        ask(Route.AT_MOST_ONCE, "c");
+        ask(RouteMode.AT_MOST_ONCE, "c");
         loop.run(3500);
         assertEquals(3, arrivals.get("c").size());
-        assertEquals(ClientResponse.REFUSED, answers.get(2).fate());
+        assertEquals(RequestOutcome.REFUSED, answers.get(2).fate());
     }
 
     @Test
     void whereNothingIsLeftNoOtherShieldIsAsked() {
         configure(1);
-        ask(Route.STATUS, "a");
+        ask(RouteMode.STATUS, "a");
         silence.put(NodeId.of("n1"), 1000L);
         loop.run(3500);
         assertEquals(1, sent("a"));
@@ -304,7 +307,7 @@
     @Test
     void anotherNodeThanTheOneThatWasAskedIsGrantedNothing() {
         configure(3);
-        ask(Route.STATUS, "a");
+        ask(RouteMode.STATUS, "a");
         final NodeId n1 = NodeId.of("n1");
         assertEquals(0, edge.grantAttempts(NodeId.of("n2"), 1));
         assertEquals(0, edge.grantAttempts(n1, 99));
@@ -332,11 +335,11 @@
                 several += sent > 1 ? 1 : 0;
             }
             for (final Map.Entry<String, ClientResponse> entry : one.said.entrySet()) {
-                if (entry.getKey().startsWith(Route.AT_MOST_ONCE)) {
+                if (entry.getKey().startsWith(RouteMode.AT_MOST_ONCE.code())) {
                     final int ran = one.mayHaveRun.getOrDefault(entry.getKey(), 0);
                     assertTrue(ran <= 1, "seed " + seed + ": " + entry.getKey());
                     assertFalse(
-                            ran > 0 && entry.getValue().fate().equals(ClientResponse.REFUSED),
+                            ran > 0 && entry.getValue().fate() == RequestOutcome.REFUSED,
                             "seed " + seed + ": refused, and has run: " + entry.getKey());
                 }
             }
@@ -364,12 +367,12 @@
         unsent = random.nextInt(30);
         lost = random.nextInt(40);
         late = random.nextInt(40);
-        final List<String> modes = List.of(Route.STATUS, Route.AT_MOST_ONCE, Route.CACHED);
+        final List<RouteMode> modes = List.of(RouteMode.STATUS, RouteMode.AT_MOST_ONCE, RouteMode.CACHED);
         final Set<String> open = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            final String mode = modes.get(random.nextInt(modes.size()));
-            final String id = mode + i;
-            final String method = mode.equals(Route.AT_MOST_ONCE) ? "POST" : "GET";
+            final RouteMode mode = modes.get(random.nextInt(modes.size()));
+            final String id = mode.code() + i;
+            final String method = mode == RouteMode.AT_MOST_ONCE ? "POST" : "GET";
             open.add(id);
             edge.handle(
                     new ClientRequest(
--- a/data/src/test/java/org/rowanvalve/data/edge/ShardRoutingTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/ShardRoutingTest.java
@@ -10,10 +10,11 @@
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.control.config.ConfiguredRoute;
 import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.data.routing.ShardRouting;
 
 class ShardRoutingTest {
-    private static ConfiguredRoute row(final String host, final String mode) {
+    private static ConfiguredRoute row(final String host, final RouteMode mode) {
         return new ConfiguredRoute(
                 "r",
                 new Route("/", "s", mode, 1000, true, "", host, List.of(), true, 0, 0, 0, 3, ""),
@@ -26,13 +27,13 @@
         final Set<Integer> seen = new HashSet<>();
         for (int i = 0; i < 500; i++) {
             for (int place = 0; place < 3; place++) {
-                final int shard = ShardRouting.shardOf(row("h", Route.CACHED), "/" + i, null, 32, 3, place);
+                final int shard = ShardRouting.shardOf(row("h", RouteMode.CACHED), "/" + i, null, 32, 3, place);
                 assertEquals(place, shard % 3);
                 assertTrue(shard < 32);
                 seen.add(shard);
                 assertEquals(
-                        ShardRouting.shardOf(row("h", Route.KEYED), "/x", "k" + i, 32, 3, 0),
-                        ShardRouting.shardOf(row("h", Route.KEYED), "/x", "k" + i, 32, 3, place));
+                        ShardRouting.shardOf(row("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, 0),
+                        ShardRouting.shardOf(row("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, place));
             }
         }
         assertEquals(30, seen.size(), "the shards of each place");
@@ -41,11 +42,11 @@
     @Test
     void oneKeyIsOneOperationWhateverItsPathAndRoute() {
         assertEquals(
-                ShardRouting.cacheKey(row("h", Route.KEYED), "/x", "k"),
-                ShardRouting.cacheKey(row("h", Route.KEYED), "/y", "k"));
-        assertTrue(!ShardRouting.cacheKey(row("h", Route.KEYED), "/x", "k")
-                .equals(ShardRouting.cacheKey(row("i", Route.KEYED), "/x", "k")));
-        assertTrue(!ShardRouting.cacheKey(row("h", Route.CACHED), "/x", "k")
-                .equals(ShardRouting.cacheKey(row("h", Route.CACHED), "/y", "k")));
+                ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/x", "k"),
+                ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/y", "k"));
+        assertTrue(!ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/x", "k")
+                .equals(ShardRouting.cacheKey(row("i", RouteMode.KEYED), "/x", "k")));
+        assertTrue(!ShardRouting.cacheKey(row("h", RouteMode.CACHED), "/x", "k")
+                .equals(ShardRouting.cacheKey(row("h", RouteMode.CACHED), "/y", "k")));
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
@@ -26,8 +26,10 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.LeaseState;
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.control.election.Leadership;
 import org.rowanvalve.control.json.Json;
@@ -38,7 +40,6 @@
 import org.rowanvalve.control.voting.VotingSet;
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.origin.OriginTransport;
-import org.rowanvalve.data.request.ClientResponse;
 
 /** How a holder reads and writes the records of its shards, against real record stores on virtual time. */
 class KeyedRequestsTest {
@@ -50,7 +51,7 @@
     private static final NodeId C = NodeId.of("c");
     private final RecordKeepersFixture keepers = new RecordKeepersFixture();
     private final LeaseHolder leases = holder();
-    private final List<String> answers = new ArrayList<>();
+    private final List<RequestOutcome> answers = new ArrayList<>();
     private final List<ForwardResponse> filled = new ArrayList<>();
     private int sent;
 
@@ -65,7 +66,10 @@
                         keepers.loop.schedule(
                                 1,
                                 () -> then.accept(Reply.of(new LeaseRenewResponse(
-                                        1, true, List.of(new ShardLease(SHARD, TOKEN, "GRANTED")), List.of()))));
+                                        1,
+                                        true,
+                                        List.of(new ShardLease(SHARD, TOKEN, LeaseState.GRANTED)),
+                                        List.of()))));
                     }
                 },
                 items,
@@ -80,7 +84,8 @@
                 Item.none(ItemId.LEADERSHIP)
                         .successor(Json.write(new Leadership("boss", "b", 1, 1, false, 0, 0, 0)), "t")));
         keepers.loop.run(100);
-        h.onGrant(BOSS, new LeaseGrantRequest(1, 1, List.of(new ShardLease(SHARD, TOKEN, "GRANTED"))), m -> {});
+        h.onGrant(
+                BOSS, new LeaseGrantRequest(1, 1, List.of(new ShardLease(SHARD, TOKEN, LeaseState.GRANTED))), m -> {});
         return h;
     }
 
@@ -129,7 +134,7 @@
             take(desk, "new-" + i, 1000);
         }
         keepers.loop.run(500);
-        assertEquals(60, answers.stream().filter(ClientResponse.DONE::equals).count(), answers.toString());
+        assertEquals(60, answers.stream().filter(RequestOutcome.DONE::equals).count(), answers.toString());
         assertTrue(keepers.asked.get("KeepRead") <= 6, "questions " + keepers.asked);
         assertTrue(keepers.bytes.get("Kept") < 3 * 110 * 300, "bytes " + keepers.bytes);
     }
@@ -185,9 +190,9 @@
             take(desk, "new-" + i, 300);
             keepers.loop.run(50);
         }
-        assertTrue(answers.contains(ClientResponse.REFUSED), "those that waited were refused: " + answers);
-        assertTrue(answers.contains(ClientResponse.DONE), "and later ones are served: " + answers);
-        assertFalse(answers.subList(100, 160).contains(ClientResponse.REFUSED), answers.toString());
+        assertTrue(answers.contains(RequestOutcome.REFUSED), "those that waited were refused: " + answers);
+        assertTrue(answers.contains(RequestOutcome.DONE), "and later ones are served: " + answers);
+        assertFalse(answers.subList(100, 160).contains(RequestOutcome.REFUSED), answers.toString());
         assertTrue(keepers.asked.get("KeepRead") <= 12, "questions " + keepers.asked);
         assertTrue(keepers.bytes.get("Kept") <= 6 * 110 * 300, "bytes " + keepers.bytes);
         assertEquals(1, shortages(), "told once");
@@ -222,7 +227,7 @@
         final KeyedRequests desk = desk("w");
         take(desk, "new", 1000);
         keepers.loop.run(20_000);
-        assertEquals(List.of(ClientResponse.REFUSED), answers);
+        assertEquals(List.of(RequestOutcome.REFUSED), answers);
         assertTrue(keepers.asked.get("KeepRead") <= 60, "questions " + keepers.asked);
         assertTrue(keepers.bytes.get("Kept") <= 60 * 300 + 3 * 300 * 10, "bytes " + keepers.bytes);
     }
@@ -236,7 +241,7 @@
         take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
         take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
         keepers.loop.run(2500);
-        assertEquals(List.of(ClientResponse.DONE, ClientResponse.DONE), answers);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
         assertEquals(900, filled.get(0).body().length);
         assertEquals(201, filled.get(0).status());
         assertTrue(keepers.asked.get("KeepOutcome") <= 2, "fetched once for both " + keepers.asked);
@@ -253,7 +258,7 @@
         final KeyedRequests desk = desk("w");
         take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
         keepers.loop.run(6000);
-        assertEquals(List.of(ClientResponse.UNKNOWN), answers);
+        assertEquals(List.of(RequestOutcome.UNKNOWN), answers);
         assertEquals(0, sent);
     }
 
@@ -268,14 +273,14 @@
         keepers.stores.get(A).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         take(desk, "k2", 1000);
         keepers.loop.run(200);
-        assertEquals(List.of(ClientResponse.DONE, ClientResponse.DONE), answers);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
         assertEquals(before + 2, keepers.asked.get("KeepRead"), "both pages of that one");
         keepers.stores.get(B).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         keepers.stores.get(C).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         take(desk, "k3", 1000);
         keepers.loop.run(500);
         assertEquals(
-                3, answers.stream().filter(ClientResponse.DONE::equals).count(), "written again once they are read");
+                3, answers.stream().filter(RequestOutcome.DONE::equals).count(), "written again once they are read");
         assertEquals(3, sent);
     }
 
@@ -293,7 +298,7 @@
         take(first, "shared", 1000);
         keepers.loop.run(2000);
         assertEquals(3, sent, "the key ran once");
-        assertEquals(ClientResponse.UNKNOWN, answers.get(3));
+        assertEquals(RequestOutcome.UNKNOWN, answers.get(3));
     }
 
     private void nextEpoch() {
@@ -323,7 +328,7 @@
         nextEpoch();
         take(desk, "k2", 1000);
         keepers.loop.run(200);
-        assertEquals(List.of(ClientResponse.DONE, ClientResponse.DONE), answers);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
         assertEquals(6, keepers.asked.get("KeepRead"), "two pages of each");
         assertTrue(keepers.bytes.get("Kept") < 3 * 111 * 300, "bytes " + keepers.bytes);
     }
@@ -342,7 +347,7 @@
         keepers.delay = (id, m) -> m instanceof RecordWriteRequest ? id.equals(A) ? 1L : -1L : 1L;
         keepers.loop.run(3000);
         assertEquals(1, sent, "one in the epoch before and one in this are no majority");
-        assertEquals(ClientResponse.REFUSED, answers.get(1));
+        assertEquals(RequestOutcome.REFUSED, answers.get(1));
         keepers.delay = (id, m) -> 1L;
         take(desk, "k3", 1000);
         keepers.loop.run(3000);
@@ -356,7 +361,7 @@
         keepers.ahead.addAll(List.of(A, B));
         take(desk, "k1", 1000);
         keepers.loop.run(5000);
-        assertEquals(List.of(ClientResponse.REFUSED), answers);
+        assertEquals(List.of(RequestOutcome.REFUSED), answers);
         assertEquals(0, sent);
         assertTrue(keepers.asked.get("KeepRead") < 30, "questions " + keepers.asked);
     }
--- a/data/src/test/java/org/rowanvalve/data/origin/LoadExchangeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/LoadExchangeTest.java
@@ -12,6 +12,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.VirtualTimeLoop;
 
 class LoadExchangeTest {
@@ -25,7 +26,7 @@
             new LoadExchange(loop, transport, pool, () -> List.of(NodeId.of("n2"), NodeId.of("n3")));
 
     private static Origin slots(final int n) {
-        return new Origin("s", "10.0.0.1", 80, "x", "open", 0, 0, false, 1, "z", n, 0);
+        return new Origin("s", "10.0.0.1", 80, "x", ServiceKind.OPEN, 0, 0, false, 1, "z", n, 0);
     }
 
     @Test
--- a/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
@@ -29,6 +29,7 @@
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.lease.LeaseHolder;
 import org.rowanvalve.control.store.ItemStore;
@@ -113,11 +114,15 @@
     }
 
     private void service(final double ceiling) {
-        put(ItemKind.SERVICE, "s", 1, new Service("open", 0, 1000, 5000, ceiling, 0, ""));
+        put(ItemKind.SERVICE, "s", 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, ceiling, 0, ""));
     }
 
     private void origin(final String name, final int slots) {
-        put(ItemKind.ORIGIN, name, 1, new Origin("s", "10.0.0.1", 80, name, "open", 0, 0, false, 1, "z", slots, 0));
+        put(
+                ItemKind.ORIGIN,
+                name,
+                1,
+                new Origin("s", "10.0.0.1", 80, name, ServiceKind.OPEN, 0, 0, false, 1, "z", slots, 0));
     }
 
     private static OriginTransport.OriginResponse whole() {
@@ -373,7 +378,7 @@
     void aLeavingOriginGetsNothingMoreAndADroppedServiceNeither() {
         service(0);
         origin("a", 4);
-        put(ItemKind.ORIGIN, "a", 2, new Origin("s", "10.0.0.1", 80, "a", "open", 0, 0, true, 2, "z", 4, 0));
+        put(ItemKind.ORIGIN, "a", 2, new Origin("s", "10.0.0.1", 80, "a", ServiceKind.OPEN, 0, 0, true, 2, "z", 4, 0));
         send("/1");
         assertEquals(List.of(), sent);
         origin("b", 4);
--- a/data/src/test/java/org/rowanvalve/data/origin/OriginLoadTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/OriginLoadTest.java
@@ -13,6 +13,7 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 
 class OriginLoadTest {
     private static final ItemId A = new ItemId(ItemKind.ORIGIN, "a");
@@ -21,7 +22,7 @@
     private final OriginLoad pool = new OriginLoad("coast/one");
 
     private static Origin origin(final String cell, final int slots, final long cold) {
-        return new Origin("s", "10.0.0.1", 80, "x", "open", 0, 0, false, 1, cell, slots, cold);
+        return new Origin("s", "10.0.0.1", 80, "x", ServiceKind.OPEN, 0, 0, false, 1, cell, slots, cold);
     }
 
     private List<ItemId> order(final Map<ItemId, Origin> all, final long now) {
--- a/data/src/test/java/org/rowanvalve/data/origin/RateLimitShareTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/RateLimitShareTest.java
@@ -14,6 +14,7 @@
 import org.rowanvalve.common.model.NodeStatus;
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.settings.NodeSettings;
 
 /** How much of a service's ceiling the nodes spend together, and on whose behalf. */
@@ -23,7 +24,7 @@
     private static final int SHIELDS = 4;
     private static final int EDGES = 20;
     private static final ItemId ORIGIN = new ItemId(ItemKind.ORIGIN, "o1");
-    private static final Service SERVICE = new Service("open", 0, 1000, 5000, CEILING, 0, "");
+    private static final Service SERVICE = new Service(ServiceKind.OPEN, 0, 1000, 5000, CEILING, 0, "");
 
     private static RateLimitShare share(final Role role, final double weight) {
         final Member self = new Member(NodeId.of("n1"), role, "c", "h", 1, "b", NodeStatus.READY, "1");
--- a/data/src/test/java/org/rowanvalve/data/request/ByteRangeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/request/ByteRangeTest.java
@@ -6,10 +6,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.rowanvalve.common.model.RequestOutcome;
 
 class ByteRangeTest {
     private final ClientResponse whole = new ClientResponse(
-            200, ClientResponse.DONE, Map.of("etag", "v1"), "0123456789".getBytes(StandardCharsets.UTF_8));
+            200, RequestOutcome.DONE, Map.of("etag", "v1"), "0123456789".getBytes(StandardCharsets.UTF_8));
 
     private String cut(final String wish) {
         final ClientResponse response = ByteRange.apply(whole, wish);
@@ -34,11 +35,11 @@
                 new String[] {null, "", "bytes=-3", "bytes=1-2,4-5", "bytes=4-2", "items=1-2", "bytes=a-", "bytes=1"}) {
             assertSame(whole, ByteRange.apply(whole, w), w);
         }
-        final ClientResponse none = new ClientResponse(404, ClientResponse.DONE, Map.of(), new byte[5]);
+        final ClientResponse none = new ClientResponse(404, RequestOutcome.DONE, Map.of(), new byte[5]);
         assertSame(none, ByteRange.apply(none, "bytes=1-2"));
         assertEquals(
                 416,
-                ByteRange.apply(new ClientResponse(200, ClientResponse.DONE, Map.of(), new byte[0]), "bytes=0-")
+                ByteRange.apply(new ClientResponse(200, RequestOutcome.DONE, Map.of(), new byte[0]), "bytes=0-")
                         .status());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
@@ -25,7 +25,9 @@
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.Route;
+import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.lease.LeaseHolder;
 import org.rowanvalve.control.store.ItemStore;
@@ -61,8 +63,8 @@
     private final Shield shield = new Shield(
             loop, transport, configuration, leases, dispatcher, null, () -> true, () -> {}, settings, 1 << 20);
 
-    private void route(final String mode, final long aim) {
-        put(new ItemId(ItemKind.SERVICE, "s"), new Service("open", 0, 1000, 5000, 0, 0, ""));
+    private void route(final RouteMode mode, final long aim) {
+        put(new ItemId(ItemKind.SERVICE, "s"), new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
         put(
                 new ItemId(ItemKind.ROUTE, "r"),
                 new Route("/", "s", mode, 1000, true, "", "h", List.of(), true, 2000, aim, 0, 3, ""));
@@ -102,21 +104,21 @@
     /** The edge knows of a purge that this node has not heard of. */
     @Test
     void aReadWaitsForNewsForAQuarterOfItsAimAtMost() {
-        route(Route.CACHED, 200);
+        route(RouteMode.CACHED, 200);
         ask(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
         loop.run(40);
         assertEquals(0, answers.size(), "it may hear of it");
         loop.run(60);
         assertEquals("the holder's frame is behind", answers.get(0).reason());
         answers.clear();
-        route(Route.STATUS, 200);
+        route(RouteMode.STATUS, 200);
         items.merge(new ChosenItem(
                 Ballot.ZERO,
                 new Item(
                         new ItemId(ItemKind.ROUTE, "r"),
                         new Version(2),
                         Json.write(new Route(
-                                "/", "s", Route.STATUS, 0, true, "", "h", List.of(), true, 2000, 200, 0, 3, "")),
+                                "/", "s", RouteMode.STATUS, 0, true, "", "h", List.of(), true, 2000, 200, 0, 3, "")),
                         false,
                         "")));
         ask(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
@@ -126,7 +128,7 @@
 
     @Test
     void whatSentNothingSaysThatItsAttemptsAreUnused() {
-        route(Route.CACHED, 200);
+        route(RouteMode.CACHED, 200);
         ask(null, false, 1);
         assertEquals("not the holder", answers.get(0).reason());
         assertEquals(1, answers.get(0).unusedAttempts());
--- a/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
@@ -56,7 +56,7 @@
     private static void send(final Response res, final Callback done, final ClientResponse response) {
         res.setStatus(response.status());
         response.headers().forEach((k, v) -> res.getHeaders().put(k, v));
-        res.getHeaders().put("Rv-Fate", response.fate());
+        res.getHeaders().put("Rv-Fate", response.fate().code());
         res.getHeaders().put(HttpHeader.CONTENT_LENGTH, response.body().length);
         res.write(true, ByteBuffer.wrap(response.body()), done);
     }
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -24,7 +24,7 @@
 import org.rowanvalve.common.runtime.StorageException;
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.Origin;
-import org.rowanvalve.control.config.Service;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.data.node.Node;
 import org.rowanvalve.data.origin.OriginTransport;
@@ -217,7 +217,7 @@
                                                 "127.0.0.1",
                                                 originPort,
                                                 "o",
-                                                Service.OPEN,
+                                                ServiceKind.OPEN,
                                                 0,
                                                 0,
                                                 false,
--- a/server/src/test/java/org/rowanvalve/server/origin/DefaultOriginProtocolTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/DefaultOriginProtocolTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.origin.OriginTransport;
 
 /** The product's own origin contract, docs/ORIGINS.md. */
 class DefaultOriginProtocolTest {
-    private static final Origin TO = new Origin("s", "10.0.0.1", 80, "stamp1", "content", 0, 0, false, 1);
+    private static final Origin TO = new Origin("s", "10.0.0.1", 80, "stamp1", ServiceKind.CONTENT, 0, 0, false, 1);
     private final DefaultOriginProtocol own = new DefaultOriginProtocol();
     private final OriginTransport.OutboundRequest what = new OriginTransport.OutboundRequest(
             "s", "POST", "/x", "id1", "k1", new byte[0], null, 900, Map.of("Accept-Language", "sw"));
--- a/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.origin.OriginTransport;
 import org.rowanvalve.server.process.Main;
 import org.rowanvalve.server.thread.CoreEventLoop;
@@ -116,7 +117,7 @@
     }
 
     private OriginTransport.ExchangeResult send(final String method) throws Exception {
-        final Origin to = new Origin("s", "127.0.0.1", listener.getLocalPort(), "a", "open", 0, 0, false, 1);
+        final Origin to = new Origin("s", "127.0.0.1", listener.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final byte[] body = method.equals("POST") ? new byte[] {1} : null;
         final CompletableFuture<OriginTransport.OriginResponse> answer = new CompletableFuture<>();
         loop.execute(() -> port.send(
--- a/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.origin.OriginTransport;
 import org.rowanvalve.server.process.Main;
 import org.rowanvalve.server.thread.CoreEventLoop;
@@ -77,7 +78,7 @@
         says = stay.equals("close")
                 ? Map.of("Connection", "close")
                 : stay.isEmpty() ? Map.of() : Map.of("Keep-Alive", stay);
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), stamp, "open", 0, 0, false, 1);
+        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), stamp, ServiceKind.OPEN, 0, 0, false, 1);
         for (int i = 0; i < 3; i++) {
             final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
             final String id = "r" + i;
@@ -109,7 +110,7 @@
     /** What is no URI by the letter is no reason to fail in the core: it reaches the origin as it came. */
     @Test
     void everyTargetGoesOutAsItCame() throws Exception {
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", "open", 0, 0, false, 1);
+        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         for (final String target : List.of("/x?a=b|c", "//h/x?a={b}", "/x//y", "/a%2Fb?%25", "/x?u=//h/%2F&&=")) {
             final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
             loop.execute(() -> port.send(
@@ -127,7 +128,7 @@
     void whoeverDoesNotSayWhoItIsIsNotTakenForAnother() throws Exception {
         port = new HttpOriginTransport(loop, http);
         says = Map.of("Status", "503");
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", "open", 0, 0, false, 1);
+        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
         loop.execute(() -> port.send(
                 to,
--- a/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.origin.OriginTransport;
 import org.rowanvalve.server.process.Main;
 import org.rowanvalve.server.thread.CoreEventLoop;
@@ -85,7 +86,7 @@
 
     private CompletableFuture<OriginTransport.OriginResponse> send(
             final RawPeer peer, final String method, final String id, final long ms) {
-        final Origin to = new Origin("s", "127.0.0.1", peer.port(), "a", "open", 0, 0, false, 1);
+        final Origin to = new Origin("s", "127.0.0.1", peer.port(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final CompletableFuture<OriginTransport.OriginResponse> answer = new CompletableFuture<>();
         final byte[] body = method.equals("POST") ? ("for " + id).getBytes(StandardCharsets.US_ASCII) : null;
         loop.execute(() -> port.send(
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.rowanvalve.common.model.Hash;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.data.request.ClientRequest;
@@ -120,7 +121,7 @@
             if (!over[0]) {
                 over[0] = true;
                 note(w, path, key, turn, at, t, id, response);
-                if (response != null && key != null && response.fate().equals(ClientResponse.DONE)) {
+                if (response != null && key != null && response.fate() == RequestOutcome.DONE) {
                     tellAccepted(response);
                 }
             }
@@ -155,7 +156,7 @@
             final ClientResponse response) {
         final String text = response == null ? "" : new String(response.body(), StandardCharsets.UTF_8);
         final Map<?, ?> map =
-                response != null && response.fate().equals(ClientResponse.DONE) ? Json.read(text, Map.class) : Map.of();
+                response != null && response.fate() == RequestOutcome.DONE ? Json.read(text, Map.class) : Map.of();
         cluster.log()
                 .add(RunLog.row(
                         "log",
@@ -185,7 +186,7 @@
                         "status",
                         response == null ? 0 : response.status(),
                         "fate",
-                        response == null ? "none" : response.fate(),
+                        response == null ? "none" : response.fate().code(),
                         "stamp",
                         response == null ? null : response.headers().get("rv-stamp"),
                         "request",
@@ -196,17 +197,16 @@
                                 : Hash.sha256Hex(response.body())
                                         .equals(response.headers().get("rv-digest")),
                         "why",
-                        response == null || response.fate().equals(ClientResponse.DONE) ? null : text,
+                        response == null || response.fate() == RequestOutcome.DONE ? null : text,
                         "said",
                         map.get("path"),
                         "saidKey",
                         map.get("key"),
                         "rev",
                         map.get("rev")));
-        final boolean again = response == null || !response.fate().equals(ClientResponse.DONE);
+        final boolean again = response == null || response.fate() != RequestOutcome.DONE;
         final double eager = cluster.place().hasty() ? 0.9 : 0.4;
-        final boolean may = !w.mode().equals("single")
-                || response != null && response.fate().equals(ClientResponse.REFUSED);
+        final boolean may = !w.mode().equals("single") || response != null && response.fate() == RequestOutcome.REFUSED;
         if (on && again && may && turn < 4 && cluster.world().dice().nextDouble() < eager) {
             final long rest =
                     cluster.place().hasty() ? 20 : 500 + cluster.world().dice().nextInt(1000);
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.operator.ApiResponse;
 import org.rowanvalve.testkit.log.RunLog;
@@ -80,7 +81,7 @@
                                     who.host(),
                                     80,
                                     stamp,
-                                    m.kind(),
+                                    ServiceKind.ofCode(m.kind()),
                                     0,
                                     0,
                                     out,
--- a/testkit/src/test/java/org/rowanvalve/testkit/HttpOriginTransportTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/HttpOriginTransportTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 import org.rowanvalve.control.config.Origin;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.data.origin.OriginResponseValidator;
 import org.rowanvalve.data.origin.OriginTransport;
 import org.rowanvalve.server.origin.HttpOriginTransport;
@@ -57,7 +58,7 @@
     }
 
     private Origin at(final String service, final String stamp, final int to) {
-        return new Origin(service, "127.0.0.1", to, stamp, "content", 0, 10_000, false, 1);
+        return new Origin(service, "127.0.0.1", to, stamp, ServiceKind.CONTENT, 0, 10_000, false, 1);
     }
 
     private Origin here() {
--- a/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
@@ -29,10 +29,12 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
+import org.rowanvalve.common.model.LeaseState;
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.election.Leadership;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.lease.LeaseHolder;
@@ -81,21 +83,21 @@
         time.run(100);
         leases.onGrant(
                 BOSS,
-                new LeaseGrantRequest(1, 1, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED"))),
+                new LeaseGrantRequest(1, 1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED))),
                 m -> {});
     }
 
     private void answer(final int n) {
         renewals.get(n)
                 .accept(Reply.of(new LeaseRenewResponse(
-                        1, true, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED")), List.of())));
+                        1, true, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED)), List.of())));
     }
 
     @Test
     void aNewGrantIsUncertainUntilItsRenewIsAnswered() {
         assertEquals(1, renewals.size(), "the grant makes the holder renew at once");
         assertFalse(leases.mayFill(3));
-        assertEquals(LeaseHolder.State.UNCERTAIN, leases.leases().get(3).state());
+        assertEquals(LeaseState.UNCERTAIN, leases.leases().get(3).state());
         answer(0);
         assertTrue(leases.mayFill(3));
     }
@@ -106,9 +108,9 @@
         answer(0);
         final long from = sent.get(0);
         time.run(from + 1999);
-        assertTrue(leases.leases().get(3).state() != LeaseHolder.State.EXPIRED);
+        assertTrue(leases.leases().get(3).state() != LeaseState.EXPIRED);
         time.run(from + 2050);
-        assertEquals(LeaseHolder.State.EXPIRED, leases.leases().get(3).state());
+        assertEquals(LeaseState.EXPIRED, leases.leases().get(3).state());
         assertEquals(1, stops.size());
     }
 
@@ -119,7 +121,7 @@
         assertEquals(2, renewals.size());
         assertTrue(leases.mayFill(3));
         time.run(1900);
-        assertEquals(LeaseHolder.State.UNCERTAIN, leases.leases().get(3).state());
+        assertEquals(LeaseState.UNCERTAIN, leases.leases().get(3).state());
         assertFalse(leases.mayFill(3));
         assertTrue(leases.mayServe(3), "what is cached is still served");
         answer(renewals.size() - 1);
@@ -141,25 +143,25 @@
         answer(0);
         leases.onGrant(
                 BOSS,
-                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 2), "GRANTED"))),
+                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.GRANTED))),
                 m -> {});
         assertFalse(leases.mayFill(3), "a higher token is a new grant");
         leases.onGrant(
                 BOSS,
-                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 1), "GRANTED"))),
+                new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED))),
                 m -> {});
         assertEquals(new FencingToken(1, 2), leases.token(3));
         assertTrue(journal.recent().stream().anyMatch(entry -> entry.event().code() == EventCode.GRANT_REJECTED));
         leases.onRevoke(
                 BOSS,
-                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 2), "REVOKED"))),
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.REVOKED))),
                 m -> {});
         time.run(time.now() + 10);
         leases.onGrant(
                 BOSS,
-                new LeaseGrantRequest(1, 3, List.of(new ShardLease(3, new FencingToken(1, 2), "GRANTED"))),
+                new LeaseGrantRequest(1, 3, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.GRANTED))),
                 m -> {});
-        assertEquals(LeaseHolder.State.REVOKED, leases.leases().get(3).state());
+        assertEquals(LeaseState.REVOKED, leases.leases().get(3).state());
     }
 
     /** The right is looked at when the request leaves, not when it came. */
@@ -178,7 +180,7 @@
                 Item.none(new ItemId(org.rowanvalve.common.model.ItemKind.ORIGIN, "s1"))
                         .successor(
                                 Json.write(new org.rowanvalve.control.config.Origin(
-                                        "s", "h", 1, "b", "content", 0, 60_000, false, 1)),
+                                        "s", "h", 1, "b", ServiceKind.CONTENT, 0, 60_000, false, 1)),
                                 "t")));
         final List<String> sent = new ArrayList<>();
         final org.rowanvalve.data.settings.NodeSettings settings = org.rowanvalve.data.settings.NodeSettings.builderFor(
@@ -220,7 +222,7 @@
         assertEquals(List.of("/1"), sent);
         leases.onRevoke(
                 BOSS,
-                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), "REVOKED"))),
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.REVOKED))),
                 m -> {});
         time.run(time.now() + 1000);
         assertEquals(List.of("/1"), sent);
@@ -273,7 +275,7 @@
                                 0,
                                 0));
                     },
-                    f -> seen.add(f.fate()));
+                    f -> seen.add(f.fate().code()));
             time.run(time.now() + 100);
         }
         return seen;
@@ -327,7 +329,7 @@
         final long from = time.now();
         leases.onRevoke(
                 BOSS,
-                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), "REVOKED"))),
+                new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.REVOKED))),
                 back::add);
         assertFalse(leases.mayFill(3));
         time.run(from + 299);
--- a/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -23,10 +23,12 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.ConfiguredRoute;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.control.store.ItemStore;
@@ -67,7 +69,8 @@
     }
 
     private ForwardResponse filled(final String token, final VersionVector mark, final long age) {
-        return new ForwardResponse("done", "", 200, FencingToken.parse(token), Map.of(), "x".getBytes(), age, mark, 0);
+        return new ForwardResponse(
+                RequestOutcome.DONE, "", 200, FencingToken.parse(token), Map.of(), "x".getBytes(), age, mark, 0);
     }
 
     @Test
@@ -264,7 +267,7 @@
     @Test
     void anAnswerMustProveStampRequestAndLength() {
         final org.rowanvalve.control.config.Origin to =
-                new org.rowanvalve.control.config.Origin("s", "h", 1, "b", "content", 0, 1, false, 1);
+                new org.rowanvalve.control.config.Origin("s", "h", 1, "b", ServiceKind.CONTENT, 0, 1, false, 1);
         final org.rowanvalve.data.origin.OriginTransport.OutboundRequest sent =
                 new org.rowanvalve.data.origin.OriginTransport.OutboundRequest(
                         "s", "GET", "/s/1", "r1", null, null, null, 1);
--- a/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ItemKind;
+import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.control.election.LeaderElection;
 import org.rowanvalve.control.election.Leadership;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.operator.ApiResponse;
 import org.rowanvalve.data.request.ClientRequest;
-import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.testkit.judge.Judge;
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.scenario.Deployment;
@@ -137,7 +137,7 @@
                 .execute(() ->
                         cluster.node("ed2").node().configurationService().putItem(ROUTE, route, 1, "w2", next::add));
         cluster.run(3000);
-        assertTrue(again.get(0).startsWith(ClientResponse.DONE), again.toString());
+        assertTrue(again.get(0).startsWith(RequestOutcome.DONE.code()), again.toString());
         assertEquals(200, next.get(0).status());
         final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.control.config.Purge;
+import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.testkit.judge.Judge;
@@ -38,9 +39,9 @@
         final SimCluster cluster = quiet(Deployment.kilimanjaroShields(), 2);
         final String service = cluster.place().kin().get(0).service();
         final List<Integer> said = new ArrayList<>();
-        final Origin ready = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, false, 4, "", 8, 0);
-        final Origin out = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, true, 5, "", 8, 0);
-        final Origin late = new Origin(service, "127.9.9.9", 80, "i-own", "open", 0, 0, false, 6, "", 8, 0);
+        final Origin ready = new Origin(service, "127.9.9.9", 80, "i-own", ServiceKind.OPEN, 0, 0, false, 4, "", 8, 0);
+        final Origin out = new Origin(service, "127.9.9.9", 80, "i-own", ServiceKind.OPEN, 0, 0, true, 5, "", 8, 0);
+        final Origin late = new Origin(service, "127.9.9.9", 80, "i-own", ServiceKind.OPEN, 0, 0, false, 6, "", 8, 0);
         final List<Runnable> steps = List.of(
                 () -> cluster.node("sh1")
                         .node()
--- a/testkit/src/test/java/org/rowanvalve/testkit/WorstMomentTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WorstMomentTest.java
@@ -56,7 +56,7 @@
         final SimNode node = cluster.node(edge);
         final long t = cluster.world().now();
         node.execute(() -> node.node().edge().handle(request, response -> {
-            got.add(response.fate());
+            got.add(response.fate().code());
             cluster.log()
                     .add(RunLog.row(
                             "log",
@@ -78,7 +78,7 @@
                             "status",
                             response.status(),
                             "fate",
-                            response.fate(),
+                            response.fate().code(),
                             "stamp",
                             response.headers().get("rv-stamp"),
                             "request",
