--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -40,9 +40,9 @@
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
     private interface Typed {}
 
-    public static byte[] encode(final Object o) {
+    public static byte[] encode(final Object value) {
         try {
-            return MAPPER.writeValueAsBytes(o);
+            return MAPPER.writeValueAsBytes(value);
         } catch (final IOException e) {
             throw new IllegalStateException(e);
         }
--- a/common/src/main/java/org/rowanvalve/common/model/Ballot.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Ballot.java
@@ -7,12 +7,12 @@
     public static final Ballot ZERO = new Ballot(0, "");
 
     @Override
-    public int compareTo(final Ballot o) {
-        final int c = Long.compare(round, o.round);
-        return c != 0 ? c : proposer.compareTo(o.proposer);
+    public int compareTo(final Ballot other) {
+        final int c = Long.compare(round, other.round);
+        return c != 0 ? c : proposer.compareTo(other.proposer);
     }
 
-    public boolean isAbove(final Ballot o) {
-        return compareTo(o) > 0;
+    public boolean isAbove(final Ballot other) {
+        return compareTo(other) > 0;
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
+++ b/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
@@ -8,14 +8,14 @@
         return new FencingToken(Math.max(term, now), count + 1);
     }
 
-    public boolean isBelow(final FencingToken o) {
-        return compareTo(o) < 0;
+    public boolean isBelow(final FencingToken other) {
+        return compareTo(other) < 0;
     }
 
     @Override
-    public int compareTo(final FencingToken o) {
-        final int c = Long.compare(term, o.term);
-        return c != 0 ? c : Long.compare(count, o.count);
+    public int compareTo(final FencingToken other) {
+        final int c = Long.compare(term, other.term);
+        return c != 0 ? c : Long.compare(count, other.count);
     }
 
     @Override
--- a/common/src/main/java/org/rowanvalve/common/model/ItemId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemId.java
@@ -31,8 +31,8 @@
     }
 
     @Override
-    public int compareTo(final ItemId o) {
-        return text().compareTo(o.text());
+    public int compareTo(final ItemId other) {
+        return text().compareTo(other.text());
     }
 
     @Override
--- a/common/src/main/java/org/rowanvalve/common/model/Member.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Member.java
@@ -12,7 +12,7 @@
         @JsonProperty("boot") String incarnation,
         @JsonProperty("condition") NodeStatus status,
         String version) {
-    public Member with(final NodeStatus c) {
-        return new Member(id, role, location, host, port, incarnation, c, version);
+    public Member with(final NodeStatus newStatus) {
+        return new Member(id, role, location, host, port, incarnation, newStatus, version);
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/model/NodeId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/NodeId.java
@@ -17,8 +17,8 @@
     }
 
     @Override
-    public int compareTo(final NodeId o) {
-        return text.compareTo(o.text);
+    public int compareTo(final NodeId other) {
+        return text.compareTo(other.text);
     }
 
     @Override
--- a/common/src/main/java/org/rowanvalve/common/model/Version.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Version.java
@@ -18,12 +18,12 @@
         return new Version(number + 1);
     }
 
-    public boolean isAbove(final Version o) {
-        return number > o.number;
+    public boolean isAbove(final Version other) {
+        return number > other.number;
     }
 
     @Override
-    public int compareTo(final Version o) {
-        return Long.compare(number, o.number);
+    public int compareTo(final Version other) {
+        return Long.compare(number, other.number);
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/model/VersionVector.java
+++ b/common/src/main/java/org/rowanvalve/common/model/VersionVector.java
@@ -13,8 +13,8 @@
         this(new TreeMap<>(versions == null ? Map.of() : versions));
     }
 
-    public boolean covers(final VersionVector o) {
-        return o.versions.entrySet().stream()
+    public boolean covers(final VersionVector other) {
+        return other.versions.entrySet().stream()
                 .allMatch(entry -> versions.getOrDefault(entry.getKey(), 0L) >= entry.getValue());
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/runtime/Transport.java
+++ b/common/src/main/java/org/rowanvalve/common/runtime/Transport.java
@@ -8,11 +8,11 @@
 
 /** The transport between processes: requests that are answered, and one-way messages. */
 public interface Transport {
-    void request(NodeId to, Message msg, long wait, Consumer<Reply> then);
+    void request(NodeId recipient, Message msg, long wait, Consumer<Reply> then);
 
     /** One-way: nothing is heard of it, and it may be lost. */
-    default void send(final NodeId to, final Message msg) {
-        request(to, msg, 300, reply -> {});
+    default void send(final NodeId recipient, final Message msg) {
+        request(recipient, msg, 300, reply -> {});
     }
 
     default void send(final Collection<NodeId> to, final Message msg) {
--- a/control/src/main/java/org/rowanvalve/control/config/Configuration.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Configuration.java
@@ -162,8 +162,8 @@
             route.services().stream()
                     .filter(name -> !name.isEmpty() && !services.containsKey(name))
                     .forEach(name -> errors.add(new ValidationError(at + "/service", "no service is named " + name)));
-            final Service to = services.get(route.service());
-            if (to != null && route.hasMode(RouteMode.KEYED) && to.isContent()) {
+            final Service service = services.get(route.service());
+            if (service != null && route.hasMode(RouteMode.KEYED) && service.isContent()) {
                 errors.add(new ValidationError(at + "/mode", "a content store takes no keyed requests"));
             }
             for (int j = 0; j < i; j++) {
--- a/control/src/main/java/org/rowanvalve/control/config/Route.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Route.java
@@ -49,7 +49,7 @@
         return split.isEmpty()
                 ? List.of(service)
                 : split.stream()
-                        .filter(p -> p.weight() > 0)
+                        .filter(weighted -> weighted.weight() > 0)
                         .map(WeightedService::service)
                         .toList();
     }
@@ -69,11 +69,11 @@
         long at = Long.remainderUnsigned(
                 roll,
                 Math.max(1, split.stream().mapToLong(WeightedService::weight).sum()));
-        for (final WeightedService p : split) {
-            if (at < p.weight()) {
-                return p.service();
+        for (final WeightedService weighted : split) {
+            if (at < weighted.weight()) {
+                return weighted.service();
             }
-            at -= p.weight();
+            at -= weighted.weight();
         }
         return split.get(0).service();
     }
--- a/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
@@ -52,9 +52,9 @@
         if (text.length() > MAX_LENGTH) {
             return Optional.of("at most " + MAX_LENGTH + " characters");
         }
-        final CelValidationResult r = CelEnvironment.COMPILER.compile(text);
-        return r.hasError()
-                ? Optional.of(r.getErrorString()
+        final CelValidationResult result = CelEnvironment.COMPILER.compile(text);
+        return result.hasError()
+                ? Optional.of(result.getErrorString()
                         .lines()
                         .findFirst()
                         .orElse("not an expression")
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
@@ -85,8 +85,8 @@
                     put(MessageCodec.decode(row.getValue(), Register.class));
                 }
             }
-        } catch (final MessageFormatException row) {
-            throw new StorageException("voter rows cannot be read", row);
+        } catch (final MessageFormatException e) {
+            throw new StorageException("voter rows cannot be read", e);
         }
         sealedEpoch = voters == null ? 0 : voters.item().version().number();
         if (!complete) {
--- a/control/src/main/java/org/rowanvalve/control/election/Leadership.java
+++ b/control/src/main/java/org/rowanvalve/control/election/Leadership.java
@@ -15,12 +15,12 @@
         @JsonProperty("reign") long leaseMs,
         @JsonProperty("slack") long marginMs) {
     /** A body of a version that did not state its duration had the shards' lease. */
-    long leaseMs(final LeaseTimings t) {
-        return leaseMs > 0 ? leaseMs : t.leaseMs();
+    long leaseMs(final LeaseTimings timings) {
+        return leaseMs > 0 ? leaseMs : timings.leaseMs();
     }
 
-    long marginMs(final LeaseTimings t) {
-        return leaseMs > 0 ? marginMs : t.marginMs();
+    long marginMs(final LeaseTimings timings) {
+        return leaseMs > 0 ? marginMs : timings.marginMs();
     }
 
     public static Leadership of(final Item item) {
--- a/control/src/main/java/org/rowanvalve/control/json/Json.java
+++ b/control/src/main/java/org/rowanvalve/control/json/Json.java
@@ -16,9 +16,9 @@
 
     private Json() {}
 
-    public static String write(final Object o) {
+    public static String write(final Object value) {
         try {
-            return MAPPER.writeValueAsString(o);
+            return MAPPER.writeValueAsString(value);
         } catch (final JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- a/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
@@ -14,10 +14,10 @@
     private final List<ValidationError> errors;
     private final Set<String> knownMembers = new HashSet<>();
 
-    public JsonObjectReader(final Object o, final String path, final List<ValidationError> errors) {
+    public JsonObjectReader(final Object value, final String path, final List<ValidationError> errors) {
         this.path = path;
         this.errors = errors;
-        if (o instanceof Map<?, ?> m) {
+        if (value instanceof Map<?, ?> m) {
             members = m;
         } else {
             members = Map.of();
@@ -31,19 +31,19 @@
 
     private Object member(final String name, final boolean must) {
         knownMembers.add(name);
-        final Object o = members.get(name);
-        if (o == null && (must || members.containsKey(name))) {
+        final Object value = members.get(name);
+        if (value == null && (must || members.containsKey(name))) {
             addError(name, members.containsKey(name) ? "must not be null" : "missing");
         }
-        return o;
+        return value;
     }
 
     public String text(final String name, final boolean must, final String fallback) {
-        final Object o = member(name, must);
-        if (o == null) {
+        final Object value = member(name, must);
+        if (value == null) {
             return fallback;
         }
-        if (o instanceof String s) {
+        if (value instanceof String s) {
             return s;
         }
         addError(name, "a text is wanted here");
@@ -59,9 +59,9 @@
     }
 
     public boolean booleanValue(final String name, final boolean fallback) {
-        final Object o = member(name, false);
-        if (o == null || o instanceof Boolean) {
-            return o == null ? fallback : (Boolean) o;
+        final Object value = member(name, false);
+        if (value == null || value instanceof Boolean) {
+            return value == null ? fallback : (Boolean) value;
         }
         addError(name, "true or false is wanted here");
         return fallback;
@@ -69,38 +69,38 @@
 
     public BigDecimal number(
             final String name, final boolean must, final long fallback, final long least, final long most) {
-        final Object o = member(name, must);
+        final Object value = member(name, must);
         final BigDecimal base = BigDecimal.valueOf(fallback);
-        if (o == null) {
+        if (value == null) {
             return base;
         }
-        if (!(o instanceof BigDecimal n)) {
+        if (!(value instanceof BigDecimal number)) {
             addError(name, "a number is wanted here");
             return base;
         }
-        if (n.compareTo(BigDecimal.valueOf(least)) < 0 || n.compareTo(BigDecimal.valueOf(most)) > 0) {
+        if (number.compareTo(BigDecimal.valueOf(least)) < 0 || number.compareTo(BigDecimal.valueOf(most)) > 0) {
             addError(name, "must be from " + least + " to " + most);
             return base;
         }
-        return n;
+        return number;
     }
 
     public long wholeNumber(
             final String name, final boolean must, final long fallback, final long least, final long most) {
-        final BigDecimal n = number(name, must, fallback, least, most);
-        if (n.stripTrailingZeros().scale() > 0) {
+        final BigDecimal number = number(name, must, fallback, least, most);
+        if (number.stripTrailingZeros().scale() > 0) {
             addError(name, "a whole number is wanted here");
             return fallback;
         }
-        return n.longValue();
+        return number.longValue();
     }
 
     public Map<?, ?> object(final String name) {
-        final Object o = member(name, false);
-        if (o == null) {
+        final Object value = member(name, false);
+        if (value == null) {
             return Map.of();
         }
-        if (o instanceof Map<?, ?> m) {
+        if (value instanceof Map<?, ?> m) {
             return m;
         }
         addError(name, "an object is wanted here");
@@ -108,9 +108,9 @@
     }
 
     public List<?> list(final String name) {
-        final Object o = member(name, false);
-        if (o == null || o instanceof List<?>) {
-            return o == null ? List.of() : (List<?>) o;
+        final Object value = member(name, false);
+        if (value == null || value instanceof List<?>) {
+            return value == null ? List.of() : (List<?>) value;
         }
         addError(name, "a list is wanted here");
         return List.of();
--- a/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
@@ -22,50 +22,50 @@
     }
 
     public static Object read(final byte[] data, final List<ValidationError> faults) {
-        final JsonIterator it = JsonIterator.parse(data.length == 0 ? " ".getBytes(StandardCharsets.UTF_8) : data);
+        final JsonIterator input = JsonIterator.parse(data.length == 0 ? " ".getBytes(StandardCharsets.UTF_8) : data);
         try {
-            final Object o = new JsonReader(faults).readValue(it, "", 0);
+            final Object value = new JsonReader(faults).readValue(input, "", 0);
             boolean rest = false;
             try {
-                rest = it.whatIsNext() != ValueType.INVALID;
+                rest = input.whatIsNext() != ValueType.INVALID;
             } catch (final JsonException | IOException | ArrayIndexOutOfBoundsException e) {
                 rest = false;
             }
             if (rest) {
                 faults.add(new ValidationError("/", "text after the value"));
             }
-            return o;
+            return value;
         } catch (final JsonException | IOException | ArrayIndexOutOfBoundsException e) {
             faults.add(new ValidationError("/", "not readable as JSON"));
             return null;
         }
     }
 
-    private Object readValue(final JsonIterator it, final String path, final int depth) throws IOException {
+    private Object readValue(final JsonIterator input, final String path, final int depth) throws IOException {
         if (depth > MAX_DEPTH) {
             throw new JsonException("too deep");
         }
-        return switch (it.whatIsNext()) {
-            case STRING -> it.readString();
-            case NUMBER -> readNumber(it, path);
-            case BOOLEAN -> it.readBoolean();
+        return switch (input.whatIsNext()) {
+            case STRING -> input.readString();
+            case NUMBER -> readNumber(input, path);
+            case BOOLEAN -> input.readBoolean();
             case NULL -> {
-                it.readNull();
+                input.readNull();
                 yield null;
             }
             case ARRAY -> {
                 final List<Object> list = new ArrayList<>();
-                while (it.readArray()) {
-                    list.add(readValue(it, path + "/" + list.size(), depth + 1));
+                while (input.readArray()) {
+                    list.add(readValue(input, path + "/" + list.size(), depth + 1));
                 }
                 yield list;
             }
             case OBJECT -> {
                 final Map<String, Object> map = new LinkedHashMap<>();
-                for (String f = it.readObject(); f != null; f = it.readObject()) {
+                for (String f = input.readObject(); f != null; f = input.readObject()) {
                     final String at = path + "/" + f;
                     final boolean twice = map.containsKey(f);
-                    final Object v = readValue(it, at, depth + 1);
+                    final Object v = readValue(input, at, depth + 1);
                     if (twice) {
                         errors.add(new ValidationError(at, "member stated twice"));
                     }
@@ -77,15 +77,15 @@
         };
     }
 
-    private BigDecimal readNumber(final JsonIterator it, final String path) throws IOException {
-        final String text = it.readNumberAsString();
+    private BigDecimal readNumber(final JsonIterator input, final String path) throws IOException {
+        final String text = input.readNumberAsString();
         try {
-            final BigDecimal n = new BigDecimal(text);
-            if (Math.abs((long) n.scale()) + n.precision() > 40) {
+            final BigDecimal number = new BigDecimal(text);
+            if (Math.abs((long) number.scale()) + number.precision() > 40) {
                 errors.add(new ValidationError(path, "number out of range"));
                 return BigDecimal.ZERO;
             }
-            return n;
+            return number;
         } catch (final NumberFormatException e) {
             throw new JsonException("bad number");
         }
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
@@ -109,18 +109,18 @@
             for (final Map.Entry<String, byte[]> row : storage.load().entrySet()) {
                 load(row.getKey(), row.getValue(), merged);
             }
-        } catch (final MessageFormatException row) {
-            throw new StorageException("keeper rows cannot be read", row);
+        } catch (final MessageFormatException e) {
+            throw new StorageException("keeper rows cannot be read", e);
         }
         recovery.start();
         loop.scheduleRepeatedly(SWEEP_INTERVAL_MS, this::removeExpired);
     }
 
-    private void load(final String key, final byte[] row, final long merged) throws MessageFormatException {
+    private void load(final String key, final byte[] row, final long now) throws MessageFormatException {
         if (key.startsWith(RECORD_PREFIX)) {
-            final KeyedRecordTable.Row r = MessageCodec.decode(row, KeyedRecordTable.Row.class);
-            final long retentionMs = r.retentionMs() > 0 ? r.retentionMs() : retention.retentionMs();
-            table.put(new KeyedRecordTable.Row(r.keyedRecord(), Math.min(r.writtenAt(), merged), retentionMs));
+            final KeyedRecordTable.Row stored = MessageCodec.decode(row, KeyedRecordTable.Row.class);
+            final long retentionMs = stored.retentionMs() > 0 ? stored.retentionMs() : retention.retentionMs();
+            table.put(new KeyedRecordTable.Row(stored.keyedRecord(), Math.min(stored.writtenAt(), now), retentionMs));
         } else if (key.startsWith(TOKEN_FLOOR_PREFIX)) {
             final int shard = Integer.parseInt(key.substring(TOKEN_FLOOR_PREFIX.length()));
             final TokenFloor tokenFloor = MessageCodec.decode(row, TokenFloor.class);
@@ -129,7 +129,7 @@
             syncedFloors.put(shard, tokenFloor);
         } else if (key.equals(INCOMPLETE_KEY)) {
             incompleteSince =
-                    Math.min(merged, MessageCodec.decode(row, Incomplete.class).since());
+                    Math.min(now, MessageCodec.decode(row, Incomplete.class).since());
             incomplete = true;
         } else if (key.equals(ERA_KEY)) {
             era = MessageCodec.decode(row, Era.class).number();
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
@@ -163,10 +163,10 @@
         return RECORD_BYTES + record.key().length() + (record.outcome() == null ? 0 : bytes(record.outcome()));
     }
 
-    private static int bytes(final KeyedOutcome o) {
+    private static int bytes(final KeyedOutcome outcome) {
         return OUTCOME_BYTES
-                + o.body().length
-                + o.headers().entrySet().stream()
+                + outcome.body().length
+                + outcome.headers().entrySet().stream()
                         .mapToInt(h -> 4 + h.getKey().length() + h.getValue().length())
                         .sum();
     }
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
@@ -157,10 +157,11 @@
 
     private RecordCopy copy(
             final boolean endEra, final BiPredicate<Set<NodeId>, Set<NodeId>> enough, final Runnable done) {
-        final Transport epochAware = (to, msg, wait, callback) -> transport.request(to, msg, wait, reply -> {
-            votingConfiguration.isEpochMismatch(to, reply);
-            callback.accept(reply);
-        });
+        final Transport epochAware =
+                (recipient, msg, wait, callback) -> transport.request(recipient, msg, wait, reply -> {
+                    votingConfiguration.isEpochMismatch(recipient, reply);
+                    callback.accept(reply);
+                });
         final List<NodeId> others = new ArrayList<>(votingConfiguration.voters());
         others.remove(self);
         Collections.rotate(others, Math.floorMod(self.hashCode(), Math.max(1, others.size())));
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
@@ -22,7 +22,7 @@
     private List<String> addresses;
     private ChosenItem chosenSet;
     private Consumer<ChosenItem> learner = this::adopt;
-    private BiConsumer<NodeId, ChosenItem> teacher = (to, set) -> {};
+    private BiConsumer<NodeId, ChosenItem> teacher = (recipient, set) -> {};
 
     /** {@code addresses}: the founding voters as {@code ID@IP:PORT}; empty where they are reached by other means. */
     public VotingConfiguration(final Quorum founding, final List<String> addresses) {
--- a/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
@@ -50,13 +50,13 @@
         }
 
         @Override
-        public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
             final boolean[] over = {false};
             loop.schedule(wait, () -> end(over, then, Reply.failed(Reply.Failure.NO_RESPONSE)));
             loop.schedule(
                     1,
                     () -> answer(
-                            to,
+                            recipient,
                             msg,
                             m -> loop.schedule(
                                     m instanceof StateTransferResponse all
@@ -66,9 +66,9 @@
                                     () -> end(over, then, Reply.of(m)))));
         }
 
-        private void answer(final NodeId to, final Message msg, final Consumer<Message> back) {
-            if (msg instanceof StateTransferRequest ask && voters.containsKey(to)) {
-                voters.get(to).transferState(self, ask, back);
+        private void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
+            if (msg instanceof StateTransferRequest ask && voters.containsKey(recipient)) {
+                voters.get(recipient).transferState(self, ask, back);
             }
         }
     }
--- a/control/src/test/java/org/rowanvalve/control/consensus/ModelMachine.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/ModelMachine.java
@@ -60,7 +60,7 @@
         votingConfiguration = new VotingConfiguration(
                 founding, VotingChangeModel.addresses(model.scene().before()));
         votingConfiguration.connectPeers(
-                this::learn, (to, set) -> send(List.of(to), new LearnNotification(List.of(set))));
+                this::learn, (recipient, set) -> send(List.of(recipient), new LearnNotification(List.of(set))));
         votingConfiguration.followStore(items);
         final StoreHealth health = new StoreHealth(founding, this, journal);
         proposer = new Proposer(
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         final boolean[] over = new boolean[1];
         final Consumer<Reply> once = reply -> {
             if (!over[0]) {
@@ -177,7 +177,7 @@
         };
         schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         final int mine = life;
-        final ModelMachine peer = model.machine(to);
+        final ModelMachine peer = model.machine(recipient);
         model.carry(
                 this,
                 peer,
--- a/control/src/test/java/org/rowanvalve/control/membership/MemberTableTest.java
+++ b/control/src/test/java/org/rowanvalve/control/membership/MemberTableTest.java
@@ -23,12 +23,12 @@
     private final Map<NodeId, Long> heard = new HashMap<>();
     private final Map<NodeId, Member> known = new HashMap<>();
 
-    private static Member member(final String id, final String boot, final NodeStatus c) {
-        return member(id, Role.SHIELD, boot, c);
+    private static Member member(final String id, final String boot, final NodeStatus newStatus) {
+        return member(id, Role.SHIELD, boot, newStatus);
     }
 
-    private static Member member(final String id, final Role role, final String boot, final NodeStatus c) {
-        return new Member(NodeId.of(id), role, "zone", "10.0.0.1", 7000, boot, c, "0.1.0");
+    private static Member member(final String id, final Role role, final String boot, final NodeStatus newStatus) {
+        return new Member(NodeId.of(id), role, "zone", "10.0.0.1", 7000, boot, newStatus, "0.1.0");
     }
 
     private HeartbeatResponse answer(final String name, final long now) {
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateCluster.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateCluster.java
@@ -285,7 +285,7 @@
         }
 
         @Override
-        public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
             if (--left < 0) {
                 alive = false;
             }
@@ -301,28 +301,28 @@
                 }
             };
             loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
-            if (open(to)) {
-                loop.schedule(delay(to), () -> arrive(to, msg, once));
+            if (open(recipient)) {
+                loop.schedule(delay(recipient), () -> arrive(recipient, msg, once));
             }
         }
 
-        private void arrive(final NodeId to, final Message msg, final Consumer<Reply> then) {
-            final Machine other = machines.get(to);
+        private void arrive(final NodeId recipient, final Message msg, final Consumer<Reply> then) {
+            final Machine other = machines.get(recipient);
             if (other.alive) {
                 other.take(id, msg, m -> {
-                    if (other.alive && open(to)) {
-                        loop.schedule(delay(to), () -> then.accept(Reply.of(m)));
+                    if (other.alive && open(recipient)) {
+                        loop.schedule(delay(recipient), () -> then.accept(Reply.of(m)));
                     }
                 });
             }
         }
 
-        private boolean open(final NodeId to) {
-            return to.equals(id) || !cut.contains(id) && !cut.contains(to) && random.nextDouble() >= loss;
+        private boolean open(final NodeId recipient) {
+            return recipient.equals(id) || !cut.contains(id) && !cut.contains(recipient) && random.nextDouble() >= loss;
         }
 
-        private long delay(final NodeId to) {
-            return to.equals(id) ? 0 : 8 + random.nextInt(12);
+        private long delay(final NodeId recipient) {
+            return recipient.equals(id) ? 0 : 8 + random.nextInt(12);
         }
 
         private void take(final NodeId from, final Message msg, final Consumer<Message> back) {
--- a/control/src/test/java/org/rowanvalve/control/record/KeyedRecordFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/record/KeyedRecordFixture.java
@@ -78,7 +78,7 @@
         }
     }
 
-    final Transport transport = (to, msg, wait, then) -> {
+    final Transport transport = (recipient, msg, wait, then) -> {
         asked.add(msg);
         final boolean[] over = {false};
         loop.schedule(wait, () -> {
@@ -87,11 +87,11 @@
                 then.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
             }
         });
-        answer(to, msg, m -> {
-            final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, m)).length;
-            bytes.merge(to, size, Long::sum);
+        answer(recipient, msg, m -> {
+            final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, m)).length;
+            bytes.merge(recipient, size, Long::sum);
             largest = Math.max(largest, size);
-            final long ms = delay.apply(to, msg);
+            final long ms = delay.apply(recipient, msg);
             if (ms >= 0) {
                 loop.schedule(ms, () -> {
                     if (!over[0]) {
@@ -103,8 +103,8 @@
         });
     };
 
-    void answer(final NodeId to, final Message msg, final Consumer<Message> back) {
-        final KeyedRecordStore k = keepers.get(to);
+    void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
+        final KeyedRecordStore k = keepers.get(recipient);
         if (k != null && msg instanceof RecordChecksumsRequest m) {
             k.onChecksumsRequest(m, back);
         } else if (k != null && msg instanceof RecordPageRequest m) {
--- a/control/src/test/java/org/rowanvalve/control/record/RecordCatchUpCostTest.java
+++ b/control/src/test/java/org/rowanvalve/control/record/RecordCatchUpCostTest.java
@@ -49,11 +49,11 @@
         final VirtualTimeLoop loop = new VirtualTimeLoop();
         final Map<NodeId, KeyedRecordStore> keepers = new HashMap<>();
         final long[] sum = new long[2];
-        final Transport transport = (to, msg, wait, then) -> {
-            sum[0] += MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, msg)).length;
+        final Transport transport = (recipient, msg, wait, then) -> {
+            sum[0] += MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, msg)).length;
             sum[1]++;
             final Consumer<Message> back = m -> {
-                final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, m)).length;
+                final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, m)).length;
                 sum[0] += size;
                 sum[1]++;
                 final long ms = ROUND_TRIP + size / BYTES_PER_MS;
@@ -62,9 +62,9 @@
                         () -> then.accept(ms < wait ? Reply.of(m) : Reply.failed(Reply.Failure.NO_RESPONSE)));
             };
             if (msg instanceof RecordChecksumsRequest m) {
-                keepers.get(to).onChecksumsRequest(m, back);
+                keepers.get(recipient).onChecksumsRequest(m, back);
             } else if (msg instanceof RecordPageRequest m) {
-                keepers.get(to).onPageRequest(m, back);
+                keepers.get(recipient).onPageRequest(m, back);
             }
         };
         for (final NodeId id : ALL) {
--- a/control/src/test/java/org/rowanvalve/control/record/RecordCopyTest.java
+++ b/control/src/test/java/org/rowanvalve/control/record/RecordCopyTest.java
@@ -142,7 +142,7 @@
         final int[] bad = {2};
         final KeyedRecordTable table = new KeyedRecordTable();
         final List<String> ends = new ArrayList<>();
-        final Transport forging = (to, msg, wait, then) -> transport.request(to, msg, wait, reply -> {
+        final Transport forging = (recipient, msg, wait, then) -> transport.request(recipient, msg, wait, reply -> {
             final RecordPageResponse page = reply.as(RecordPageResponse.class).orElse(null);
             then.accept(
                     page != null && bad[0]-- > 0
--- a/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
@@ -90,12 +90,12 @@
     }
 
     @Override
-    public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         final boolean vote = msg instanceof PrepareRequest || msg instanceof AcceptRequest;
-        if (deaf.contains(to) || vote && mute.contains(to)) {
+        if (deaf.contains(recipient) || vote && mute.contains(recipient)) {
             loop.schedule(wait, () -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         } else {
-            loop.schedule(1, () -> then.accept(Reply.of(answer(to, msg))));
+            loop.schedule(1, () -> then.accept(Reply.of(answer(recipient, msg))));
         }
     }
 
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -277,14 +277,14 @@
 
     /** {@code mayHaveRun}: an earlier way may have sent it, so that no refusal can promise that it has not run. */
     void finishAll(final ClientResponse response, final boolean mayHaveRun) {
-        final ClientResponse a = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
+        final ClientResponse finalResponse = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
                 ? ClientResponse.unsure("an earlier way may have sent it")
                 : response;
         final List<EdgeRequest> waiters = takeWaiters();
-        final CachedResponse stale = a.fate() == RequestOutcome.DONE ? null : staleCopy();
+        final CachedResponse stale = finalResponse.fate() == RequestOutcome.DONE ? null : staleCopy();
         waiters.forEach(waiter -> {
             if (stale == null) {
-                waiter.finish(a);
+                waiter.finish(finalResponse);
             } else {
                 waiter.respondFrom(stale, "late");
             }
--- a/data/src/main/java/org/rowanvalve/data/node/Node.java
+++ b/data/src/main/java/org/rowanvalve/data/node/Node.java
@@ -112,7 +112,8 @@
         votingConfiguration = new VotingConfiguration(settings.quorum(), settings.foundingVoters());
         votingConfiguration.addListener(() -> voterLinks().updateAddresses(runtime.addressBook()));
         votingConfiguration.connectPeers(
-                this::learn, (to, set) -> runtime.transport().send(List.of(to), new LearnNotification(List.of(set))));
+                this::learn,
+                (recipient, set) -> runtime.transport().send(List.of(recipient), new LearnNotification(List.of(set))));
         items = new ItemStore(loop, journal);
         votingConfiguration.followStore(items);
         configuration = new ConfigurationView(items);
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
@@ -80,10 +80,10 @@
         boolean mayWrite();
     }
 
-    Exchange send(Origin to, OutboundRequest what, Permission gate, Consumer<OriginResponse> then);
+    Exchange send(Origin origin, OutboundRequest request, Permission gate, Consumer<OriginResponse> then);
 
     /** What an answer lacks to be shown to a caller; empty where it lacks nothing. */
-    default String error(final Origin to, final OutboundRequest sent, final OriginResponse got) {
-        return OriginResponseValidator.error(to, sent, got.headers(), got.body());
+    default String error(final Origin origin, final OutboundRequest sent, final OriginResponse response) {
+        return OriginResponseValidator.error(origin, sent, response.headers(), response.body());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
@@ -52,7 +52,8 @@
     boolean alone;
     long heard;
     OriginDispatcher direct;
-    final Transport transport = (to, msg, wait, then) -> asked.add(new Asked(to, (ForwardRequest) msg, then));
+    final Transport transport =
+            (recipient, msg, wait, then) -> asked.add(new Asked(recipient, (ForwardRequest) msg, then));
     final Edge edge = new Edge(loop, transport, configuration, () -> fresh, 1, journal, 1 << 20, new EdgeRouting() {
         @Override
         public List<NodeId> nearestShields() {
--- a/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
@@ -116,7 +116,7 @@
     }
 
     private Shield shield(final String name) {
-        final Transport toEdge = (to, msg, wait, then) -> {
+        final Transport toEdge = (recipient, msg, wait, then) -> {
             if (msg instanceof AttemptGrantRequest m) {
                 final Consumer<Reply> once = once(then);
                 loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
@@ -172,11 +172,11 @@
         }
     }
 
-    private void carry(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+    private void carry(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         final Consumer<Reply> once = once(then);
         loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         trouble(
-                () -> shields.get(to).handle(NodeId.of("edge"), (ForwardRequest) msg, m -> answer(m, once)),
+                () -> shields.get(recipient).handle(NodeId.of("edge"), (ForwardRequest) msg, m -> answer(m, once)),
                 () -> once.accept(Reply.failed(Reply.Failure.NOT_SENT)));
     }
 
@@ -184,8 +184,8 @@
     private final class Origins implements OriginTransport {
         @Override
         public Exchange send(
-                final Origin to,
-                final OutboundRequest what,
+                final Origin origin,
+                final OutboundRequest request,
                 final Permission gate,
                 final Consumer<OriginResponse> then) {
             final ExchangeResult end = ends.length == 0 ? null : ends[random.nextInt(ends.length)];
@@ -195,17 +195,17 @@
                 return () -> {};
             }
             if (end != ExchangeResult.NOT_SENT) {
-                arrivals.computeIfAbsent(what.requestId(), k -> new ArrayList<>())
-                        .add(to.instance());
+                arrivals.computeIfAbsent(request.requestId(), k -> new ArrayList<>())
+                        .add(origin.instance());
             }
             if (end == null
                     || end == ExchangeResult.COMPLETE
                     || end == ExchangeResult.LOST
                     || end == ExchangeResult.INVALID) {
-                mayHaveRun.merge(what.requestId(), 1, Integer::sum);
+                mayHaveRun.merge(request.requestId(), 1, Integer::sum);
             }
             if (end == null) {
-                loop.schedule(what.timeoutMs(), () -> {
+                loop.schedule(request.timeoutMs(), () -> {
                     if (!cut[0]) {
                         then.accept(OriginResponse.without(ExchangeResult.LOST, "no answer in time"));
                     }
@@ -222,7 +222,7 @@
         }
 
         @Override
-        public String error(final Origin to, final OutboundRequest sent, final OriginResponse got) {
+        public String error(final Origin origin, final OutboundRequest sent, final OriginResponse response) {
             return "";
         }
     }
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
@@ -61,7 +61,7 @@
         final ItemStore items = new ItemStore(keepers.loop, journal);
         final LeaseHolder h = new LeaseHolder(
                 keepers.loop,
-                (to, msg, wait, then) -> {
+                (recipient, msg, wait, then) -> {
                     if (msg instanceof LeaseRenewRequest) {
                         keepers.loop.schedule(
                                 1,
@@ -109,9 +109,9 @@
                 patience,
                 then -> {
                     sent++;
-                    final OriginTransport.OriginResponse got = new OriginTransport.OriginResponse(
+                    final OriginTransport.OriginResponse response = new OriginTransport.OriginResponse(
                             OriginTransport.ExchangeResult.COMPLETE, 201, Map.of(), new byte[] {7}, "");
-                    keepers.loop.schedule(5, () -> then.accept(new OriginDispatcher.Completion(got, true, 0, 0)));
+                    keepers.loop.schedule(5, () -> then.accept(new OriginDispatcher.Completion(response, true, 0, 0)));
                 },
                 f -> {
                     answers.add(f.fate());
--- a/data/src/test/java/org/rowanvalve/data/keyed/RecordKeepersFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/RecordKeepersFixture.java
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         asked.merge(msg.getClass().getSimpleName(), 1, Integer::sum);
         final boolean[] over = {false};
         loop.schedule(wait, () -> {
@@ -120,12 +120,12 @@
                 then.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
             }
         });
-        answer(to, msg, m -> {
+        answer(recipient, msg, m -> {
             bytes.merge(
                     m.getClass().getSimpleName(),
-                    (long) MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, to, m)).length,
+                    (long) MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, m)).length,
                     Long::sum);
-            final long ms = delay.apply(to, msg);
+            final long ms = delay.apply(recipient, msg);
             if (ms >= 0) {
                 loop.schedule(ms, () -> {
                     if (!over[0]) {
@@ -137,12 +137,12 @@
         });
     }
 
-    private void answer(final NodeId to, final Message msg, final Consumer<Message> back) {
-        final KeyedRecordStore k = stores.get(to);
+    private void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
+        final KeyedRecordStore k = stores.get(recipient);
         if (k == null) {
             return;
         }
-        if (ahead.contains(to) && !(msg instanceof OutcomeRequest)) {
+        if (ahead.contains(recipient) && !(msg instanceof OutcomeRequest)) {
             back.accept(new EpochMismatchResponse(votingConfiguration.epoch() + 1, null));
         } else if (msg instanceof RecordReadRequest m) {
             k.onRead(m, back);
--- a/data/src/test/java/org/rowanvalve/data/origin/AnsweringOrigins.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/AnsweringOrigins.java
@@ -10,15 +10,18 @@
 public record AnsweringOrigins(EventLoop loop, List<OriginTransport.OutboundRequest> sent) implements OriginTransport {
     @Override
     public Exchange send(
-            final Origin to, final OutboundRequest what, final Permission gate, final Consumer<OriginResponse> then) {
-        sent.add(what);
+            final Origin origin,
+            final OutboundRequest request,
+            final Permission gate,
+            final Consumer<OriginResponse> then) {
+        sent.add(request);
         loop.execute(() -> then.accept(new OriginResponse(
                 ExchangeResult.COMPLETE, 200, Map.of("connection", "close", "x", "y"), "abcd".getBytes(), "")));
         return () -> {};
     }
 
     @Override
-    public String error(final Origin to, final OutboundRequest what, final OriginResponse got) {
+    public String error(final Origin origin, final OutboundRequest request, final OriginResponse response) {
         return "";
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/origin/LoadExchangeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/LoadExchangeTest.java
@@ -21,7 +21,7 @@
     private final OriginLoad pool = new OriginLoad("z");
     private final List<String> told = new ArrayList<>();
     private final Transport transport =
-            (to, msg, wait, then) -> told.add(to + " " + ((LoadReport) msg).requestsByOrigin());
+            (recipient, msg, wait, then) -> told.add(recipient + " " + ((LoadReport) msg).requestsByOrigin());
     private final LoadExchange gossip =
             new LoadExchange(loop, transport, pool, () -> List.of(NodeId.of("n2"), NodeId.of("n3")));
 
--- a/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
@@ -42,7 +42,7 @@
     private final EventJournal journal = new EventJournal(loop, 1000);
     private final ItemStore items = new ItemStore(loop, journal);
     private final ConfigurationView configuration = new ConfigurationView(items);
-    private final Transport transport = (to, msg, wait, then) -> {};
+    private final Transport transport = (recipient, msg, wait, then) -> {};
     private final List<String> sent = new ArrayList<>();
     private final List<Consumer<OriginTransport.OriginResponse>> open = new ArrayList<>();
     private final Map<String, OriginTransport.OriginResponse> says = new HashMap<>();
@@ -58,14 +58,14 @@
 
     private OriginDispatcher sender(final double ratio, final double slack, final Role role) {
         final Member self = new Member(NodeId.of("me"), role, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1");
-        final OriginTransport originTransport = (to, what, gate, then) -> {
+        final OriginTransport originTransport = (origin, request, gate, then) -> {
             if (!gate.mayWrite()) {
                 then.accept(
                         OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_PERMITTED, "barred"));
                 return () -> {};
             }
-            sent.add(to.instance() + " " + what.path());
-            final OriginTransport.OriginResponse now = says.get(to.instance());
+            sent.add(origin.instance() + " " + request.path());
+            final OriginTransport.OriginResponse now = says.get(origin.instance());
             if (now != null) {
                 loop.execute(() -> then.accept(now));
             } else {
@@ -76,15 +76,15 @@
         final OriginTransport plain = new OriginTransport() {
             @Override
             public Exchange send(
-                    final Origin to,
-                    final OutboundRequest what,
+                    final Origin origin,
+                    final OutboundRequest request,
                     final Permission gate,
                     final Consumer<OriginResponse> then) {
-                return originTransport.send(to, what, gate, then);
+                return originTransport.send(origin, request, gate, then);
             }
 
             @Override
-            public String error(final Origin to, final OutboundRequest what, final OriginResponse got) {
+            public String error(final Origin origin, final OutboundRequest request, final OriginResponse response) {
                 return "";
             }
         };
--- a/data/src/test/java/org/rowanvalve/data/origin/RateLimitShareTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/RateLimitShareTest.java
@@ -32,9 +32,9 @@
     }
 
     private static OriginRequest order(final boolean passed, final int rank, final long now) {
-        final OriginTransport.OutboundRequest what =
+        final OriginTransport.OutboundRequest request =
                 new OriginTransport.OutboundRequest("s", "GET", "/", "id", null, null, null, 0);
-        return new OriginRequest(passed ? OriginRequest.NO_SHARD : 3, what, false, now + 4000, rank, 2, false);
+        return new OriginRequest(passed ? OriginRequest.NO_SHARD : 3, request, false, now + 4000, rank, 2, false);
     }
 
     /** 1 where such a request of now leaves before the end, else 0. */
--- a/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
@@ -44,7 +44,7 @@
     private final EventJournal journal = new EventJournal(loop, 100);
     private final ItemStore items = new ItemStore(loop, journal);
     private final ConfigurationView configuration = new ConfigurationView(items);
-    private final Transport transport = (to, msg, wait, then) -> {};
+    private final Transport transport = (recipient, msg, wait, then) -> {};
     private final List<ForwardResponse> answers = new ArrayList<>();
     private final NodeSettings settings = NodeSettings.builderFor(
                     new Member(NodeId.of("n1"), Role.SHIELD, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1"))
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -62,7 +62,7 @@
             final Call call;
             try {
                 call = call(httpRequest, body);
-            } catch (final NumberFormatException entry) {
+            } catch (final NumberFormatException e) {
                 respond(
                         httpResponse,
                         callback,
--- a/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
+++ b/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
@@ -27,9 +27,9 @@
                 .append(formatMessage(r))
                 .append('\n');
         if (r.getThrown() != null) {
-            final StringWriter w = new StringWriter();
-            r.getThrown().printStackTrace(new PrintWriter(w));
-            builder.append(w);
+            final StringWriter writer = new StringWriter();
+            r.getThrown().printStackTrace(new PrintWriter(writer));
+            builder.append(writer);
         }
         return builder.toString();
     }
--- a/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
@@ -282,7 +282,7 @@
             key.attach(connection);
             connections.put(recipient, connection);
             return connection;
-        } catch (final IOException frame) {
+        } catch (final IOException e) {
             return null;
         }
     }
@@ -306,8 +306,8 @@
                 key.channel().close();
             }
             selector.close();
-        } catch (final IOException frame) {
-            journal.add(Event.of(EventCode.CIRCUIT_CLOSED, "why", "wire ended: " + frame.getMessage()));
+        } catch (final IOException e) {
+            journal.add(Event.of(EventCode.CIRCUIT_CLOSED, "why", "wire ended: " + e.getMessage()));
         }
     }
 
@@ -341,7 +341,7 @@
             }
         } catch (final PeerConnection.MalformedFrameException frame) {
             closeMalformed(connection, frame.getMessage());
-        } catch (final IOException frame) {
+        } catch (final IOException e) {
             if (connection.endsInsideFrame()) {
                 journal.add(Event.of(EventCode.CIRCUIT_CLOSED, "why", "frame cut short"));
             }
--- a/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
@@ -202,8 +202,8 @@
                 object.wholeNumber("m", false, Math.max(MIN_MARGIN_MS, leaseMs / 10), MIN_MARGIN_MS, MAX_MARGIN_MS);
         try {
             return new LeaseTimings(leaseMs, marginMs, maxViewAgeMs());
-        } catch (final IllegalArgumentException element) {
-            object.addError("m", element.getMessage());
+        } catch (final IllegalArgumentException e) {
+            object.addError("m", e.getMessage());
             return LeaseTimings.DEFAULT;
         }
     }
--- a/server/src/main/java/org/rowanvalve/server/options/Options.java
+++ b/server/src/main/java/org/rowanvalve/server/options/Options.java
@@ -82,8 +82,8 @@
     private static OptionSet parse(final String[] args, final List<ValidationError> errors) {
         try {
             return OptionFlags.parser().parse(args);
-        } catch (final OptionException entry) {
-            errors.add(new ValidationError("command line", entry.getMessage()));
+        } catch (final OptionException e) {
+            errors.add(new ValidationError("command line", e.getMessage()));
             return null;
         }
     }
@@ -98,7 +98,7 @@
             } else if (inFile.isEmpty()) {
                 errors.add(new ValidationError(file.toString(), "an object is wanted here"));
             }
-        } catch (final IOException entry) {
+        } catch (final IOException e) {
             errors.add(new ValidationError(file.toString(), "cannot be read"));
         }
     }
--- a/server/src/main/java/org/rowanvalve/server/origin/DefaultOriginProtocol.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/DefaultOriginProtocol.java
@@ -20,19 +20,19 @@
 
     @Override
     public void writeHeaders(
-            final Origin to, final OriginTransport.OutboundRequest what, final BiConsumer<String, String> put) {
-        put.accept("Rv-Request", what.requestId());
-        put.accept("Rv-Service", to.service());
-        put.accept("Rv-Stamp", to.instance());
-        if (what.key() != null) {
-            put.accept("Rv-Key", what.key());
+            final Origin origin, final OriginTransport.OutboundRequest request, final BiConsumer<String, String> put) {
+        put.accept("Rv-Request", request.requestId());
+        put.accept("Rv-Service", origin.service());
+        put.accept("Rv-Stamp", origin.instance());
+        if (request.key() != null) {
+            put.accept("Rv-Key", request.key());
         }
     }
 
     @Override
     public OriginTransport.OriginResponse read(
-            final Origin to,
-            final OriginTransport.OutboundRequest what,
+            final Origin origin,
+            final OriginTransport.OutboundRequest request,
             final int status,
             final Map<String, String> heads,
             final byte[] body) {
@@ -57,7 +57,9 @@
 
     @Override
     public String error(
-            final Origin to, final OriginTransport.OutboundRequest what, final OriginTransport.OriginResponse got) {
-        return OriginResponseValidator.error(to, what, got.headers(), got.body());
+            final Origin origin,
+            final OriginTransport.OutboundRequest request,
+            final OriginTransport.OriginResponse response) {
+        return OriginResponseValidator.error(origin, request, response.headers(), response.body());
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
@@ -11,15 +11,15 @@
     /** Whether a new connection asks who the origin is before its first request. */
     boolean asksForIdentity();
 
-    void writeHeaders(Origin to, OriginTransport.OutboundRequest what, BiConsumer<String, String> put);
+    void writeHeaders(Origin origin, OriginTransport.OutboundRequest request, BiConsumer<String, String> put);
 
     /** {@code heads} with names in small letters. */
     OriginTransport.OriginResponse read(
-            Origin to, OriginTransport.OutboundRequest what, int status, Map<String, String> heads, byte[] body);
+            Origin origin, OriginTransport.OutboundRequest request, int status, Map<String, String> heads, byte[] body);
 
     /** What a sound answer states, given the request's headers by name; for rehearsals in this process only. */
     Map<String, String> warmupHeaders(UnaryOperator<String> heads);
 
     /** What an answer lacks to be shown to a caller; empty where it lacks nothing. */
-    String error(Origin to, OriginTransport.OutboundRequest what, OriginTransport.OriginResponse got);
+    String error(Origin origin, OriginTransport.OutboundRequest request, OriginTransport.OriginResponse response);
 }
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -129,9 +129,9 @@
         }
 
         @Override
-        public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
             final Message sent = copy(msg);
-            loop.execute(() -> (to.equals(SHIELD) ? shield : to.equals(SECOND) ? second : edge)
+            loop.execute(() -> (recipient.equals(SHIELD) ? shield : recipient.equals(SECOND) ? second : edge)
                     .handle(self, sent, m -> loop.execute(() -> then.accept(Reply.of(copy(m))))));
         }
 
@@ -150,21 +150,21 @@
     private final class InMemoryOrigin implements OriginTransport {
         @Override
         public Exchange send(
-                final Origin to,
-                final OutboundRequest what,
+                final Origin origin,
+                final OutboundRequest request,
                 final Permission gate,
                 final Consumer<OriginResponse> then) {
-            protocol.writeHeaders(to, what, (k, v) -> {});
-            final Map<String, String> heads = protocol.warmupHeaders(n -> what.requestId());
+            protocol.writeHeaders(origin, request, (k, v) -> {});
+            final Map<String, String> heads = protocol.warmupHeaders(n -> request.requestId());
             loop.execute(() -> then.accept(
                     gate.mayWrite()
-                            ? protocol.read(to, what, 200, heads, new byte[6000])
+                            ? protocol.read(origin, request, 200, heads, new byte[6000])
                             : OriginResponse.without(ExchangeResult.NOT_PERMITTED, "")));
             return () -> {};
         }
 
         @Override
-        public String error(final Origin to, final OutboundRequest what, final OriginResponse got) {
+        public String error(final Origin origin, final OutboundRequest request, final OriginResponse response) {
             return "";
         }
     }
--- a/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
@@ -96,7 +96,7 @@
     @Singleton
     OriginTransport port(final CoreEventLoop loop, final Provider<HttpClient> http) {
         return options.role() == Role.STORE
-                ? (to, request, permission, callback) -> {
+                ? (origin, request, permission, callback) -> {
                     loop.execute(() -> callback.accept(OriginTransport.OriginResponse.without(
                             OriginTransport.ExchangeResult.NOT_SENT, "stores send nothing to origins")));
                     return () -> {};
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -111,9 +111,8 @@
         components.loop().onShed(() -> components.journal().add(Event.of(EventCode.RING_FULL, "ring", "core")));
         try {
             components.net().bind(options.peerAddress(), VoterDiscovery::blank);
-        } catch (final IOException entry) {
-            throw new IOException(
-                    "wire address " + options.peerAddress() + " cannot be used: " + entry.getMessage(), entry);
+        } catch (final IOException e) {
+            throw new IOException("wire address " + options.peerAddress() + " cannot be used: " + e.getMessage(), e);
         }
         components.loop().start();
         startupTimer.end("wire");
@@ -164,8 +163,8 @@
     private static void start(final org.eclipse.jetty.client.HttpClient http) throws IOException {
         try {
             http.start();
-        } catch (final Exception entry) {
-            throw new IOException("the HTTP client cannot be started: " + entry.getMessage(), entry);
+        } catch (final Exception e) {
+            throw new IOException("the HTTP client cannot be started: " + e.getMessage(), e);
         }
         http.getProtocolHandlers().clear();
         http.getContentDecoderFactories().clear();
@@ -178,8 +177,8 @@
         components.loop().execute(() -> {
             try {
                 node.start();
-            } catch (final StorageException entry) {
-                failures.add(entry);
+            } catch (final StorageException e) {
+                failures.add(e);
             }
             started.countDown();
         });
@@ -218,8 +217,8 @@
     public static void startServer(final Server server, final String description) throws IOException {
         try {
             server.start();
-        } catch (final Exception entry) {
-            throw new IOException(description + " cannot be used: " + entry.getMessage(), entry);
+        } catch (final Exception e) {
+            throw new IOException(description + " cannot be used: " + e.getMessage(), e);
         }
     }
 
@@ -241,7 +240,7 @@
         components.loop().execute(() -> components.node().shutDown(timeoutMs, stopped::countDown));
         try {
             stopped.await(timeoutMs + 2000, TimeUnit.MILLISECONDS);
-        } catch (final InterruptedException entry) {
+        } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         log.flush();
--- a/server/src/test/java/org/rowanvalve/server/net/TcpFramesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/net/TcpFramesTest.java
@@ -93,9 +93,9 @@
         return id;
     }
 
-    private CompletableFuture<Reply> ask(final NodeId to, final Message msg, final long wait) {
+    private CompletableFuture<Reply> ask(final NodeId recipient, final Message msg, final long wait) {
         final CompletableFuture<Reply> answer = new CompletableFuture<>();
-        loop.execute(() -> net.request(to, msg, wait, answer::complete));
+        loop.execute(() -> net.request(recipient, msg, wait, answer::complete));
         return answer;
     }
 
@@ -124,7 +124,7 @@
     @Test
     void anAnswerThatIsCutAfterAnyByteIsNone() throws Exception {
         final int length = frame(100, answer(new MessageCodec.Frame(1, 100, 0, ONE, new DigestRequest(0, 100)))).length;
-        final NodeId to = peer("p", (connection, in) -> {
+        final NodeId recipient = peer("p", (connection, in) -> {
             final MessageCodec.Frame asked = read(in);
             final byte[] whole = frame(asked.id(), answer(asked));
             final int cut = (int) ((DigestRequest) asked.message()).digest() - 100;
@@ -136,7 +136,7 @@
         for (int cut = 0; cut < length; cut++) {
             assertEquals(
                     Reply.Failure.NO_RESPONSE,
-                    end(ask(to, new DigestRequest(0, 100 + cut), 20_000)).failure(),
+                    end(ask(recipient, new DigestRequest(0, 100 + cut), 20_000)).failure(),
                     "at " + cut);
         }
     }
@@ -146,7 +146,7 @@
     void whatIsSaidToBeUnsentDidNotArrive() throws Exception {
         final Random random = new Random(1);
         final List<String> arrived = new CopyOnWriteArrayList<>();
-        final NodeId to = peer("p", (connection, in) -> {
+        final NodeId recipient = peer("p", (connection, in) -> {
             final int whole = random.nextInt(3);
             for (int i = 0; i < whole; i++) {
                 arrived.add(((StatusResponse) read(in).message()).json().split(" ")[0]);
@@ -159,7 +159,7 @@
             final Map<String, CompletableFuture<Reply>> answers = new HashMap<>();
             for (int i = 0; i < 16; i++) {
                 final String name = round + "." + i;
-                answers.put(name, ask(to, new StatusResponse(name + " " + "x".repeat(1_000_000)), 700));
+                answers.put(name, ask(recipient, new StatusResponse(name + " " + "x".repeat(1_000_000)), 700));
             }
             for (final Map.Entry<String, CompletableFuture<Reply>> entry : answers.entrySet()) {
                 final Reply.Failure trouble = end(entry.getValue()).failure();
@@ -251,7 +251,7 @@
         final Random random = new Random(7);
         final List<Long> seen = Collections.synchronizedList(new ArrayList<>());
         final List<byte[]> earlier = new ArrayList<>();
-        final NodeId to = peer("p", (connection, in) -> {
+        final NodeId recipient = peer("p", (connection, in) -> {
             boolean on = true;
             while (on) {
                 final MessageCodec.Frame asked = read(in);
@@ -263,7 +263,7 @@
         int answered = 0;
         int none = 0;
         for (long n = 1; n <= 600; n++) {
-            answers.put(n, ask(to, new DigestRequest(0, n), 1500));
+            answers.put(n, ask(recipient, new DigestRequest(0, n), 1500));
             if (n % 4 == 0) {
                 end(answers.get(n));
             }
--- a/server/src/test/java/org/rowanvalve/server/origin/DefaultOriginProtocolTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/DefaultOriginProtocolTest.java
@@ -16,13 +16,13 @@
 class DefaultOriginProtocolTest {
     private static final Origin TO = new Origin("s", "10.0.0.1", 80, "stamp1", ServiceKind.CONTENT, 0, 0, false, 1);
     private final DefaultOriginProtocol own = new DefaultOriginProtocol();
-    private final OriginTransport.OutboundRequest what = new OriginTransport.OutboundRequest(
+    private final OriginTransport.OutboundRequest request = new OriginTransport.OutboundRequest(
             "s", "POST", "/x", "id1", "k1", new byte[0], null, 900, Map.of("Accept-Language", "sw"));
 
     @Test
     void aRequestNamesItselfItsOriginAndItsKey() {
         final Map<String, String> heads = new TreeMap<>();
-        own.writeHeaders(TO, what, heads::put);
+        own.writeHeaders(TO, request, heads::put);
         assertEquals(Map.of("Rv-Request", "id1", "Rv-Service", "s", "Rv-Stamp", "stamp1", "Rv-Key", "k1"), heads);
         heads.clear();
         own.writeHeaders(
@@ -45,11 +45,11 @@
                 "3",
                 "rv-tags",
                 " drinks  perfume ");
-        final OriginTransport.OriginResponse got = own.read(TO, what, 200, heads, body);
-        assertEquals(List.of("drinks", "perfume"), got.tags());
-        assertEquals(OriginTransport.ExchangeResult.COMPLETE, got.result());
-        assertEquals("", own.error(TO, what, got));
-        assertEquals("digest differs", own.error(TO, what, own.read(TO, what, 200, heads, new byte[3])));
-        assertEquals(List.of(), own.read(TO, what, 200, Map.of(), body).tags());
+        final OriginTransport.OriginResponse response = own.read(TO, request, 200, heads, body);
+        assertEquals(List.of("drinks", "perfume"), response.tags());
+        assertEquals(OriginTransport.ExchangeResult.COMPLETE, response.result());
+        assertEquals("", own.error(TO, request, response));
+        assertEquals("digest differs", own.error(TO, request, own.read(TO, request, 200, heads, new byte[3])));
+        assertEquals(List.of(), own.read(TO, request, 200, Map.of(), body).tags());
     }
 }
--- a/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
@@ -117,11 +117,12 @@
     }
 
     private OriginTransport.ExchangeResult send(final String method) throws Exception {
-        final Origin to = new Origin("s", "127.0.0.1", listener.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
+        final Origin origin =
+                new Origin("s", "127.0.0.1", listener.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final byte[] body = method.equals("POST") ? new byte[] {1} : null;
         final CompletableFuture<OriginTransport.OriginResponse> answer = new CompletableFuture<>();
         loop.execute(() -> port.send(
-                to,
+                origin,
                 new OriginTransport.OutboundRequest("s", method, "/", "r", null, body, null, 20_000),
                 () -> true,
                 answer::complete));
--- a/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
@@ -78,12 +78,13 @@
         says = stay.equals("close")
                 ? Map.of("Connection", "close")
                 : stay.isEmpty() ? Map.of() : Map.of("Keep-Alive", stay);
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), stamp, ServiceKind.OPEN, 0, 0, false, 1);
+        final Origin origin =
+                new Origin("s", "127.0.0.1", link.getLocalPort(), stamp, ServiceKind.OPEN, 0, 0, false, 1);
         for (int i = 0; i < 3; i++) {
             final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
             final String id = "r" + i;
             loop.execute(() -> port.send(
-                    to,
+                    origin,
                     new OriginTransport.OutboundRequest("s", "GET", "/", id, null, null, null, 20_000),
                     () -> true,
                     f::complete));
@@ -110,16 +111,16 @@
     /** What is no URI by the letter is no reason to fail in the core: it reaches the origin as it came. */
     @Test
     void everyTargetGoesOutAsItCame() throws Exception {
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
+        final Origin origin = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         for (final String target : List.of("/x?a=b|c", "//h/x?a={b}", "/x//y", "/a%2Fb?%25", "/x?u=//h/%2F&&=")) {
             final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
             loop.execute(() -> port.send(
-                    to,
+                    origin,
                     new OriginTransport.OutboundRequest("s", "GET", target, "r", null, null, null, 20_000),
                     () -> true,
                     f::complete));
-            final OriginTransport.OriginResponse got = f.get(30, TimeUnit.SECONDS);
-            assertEquals("200 " + target, got.status() + " " + this.target, got.reason());
+            final OriginTransport.OriginResponse response = f.get(30, TimeUnit.SECONDS);
+            assertEquals("200 " + target, response.status() + " " + this.target, response.reason());
         }
     }
 
@@ -128,10 +129,10 @@
     void whoeverDoesNotSayWhoItIsIsNotTakenForAnother() throws Exception {
         port = new HttpOriginTransport(loop, http);
         says = Map.of("Status", "503");
-        final Origin to = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
+        final Origin origin = new Origin("s", "127.0.0.1", link.getLocalPort(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
         loop.execute(() -> port.send(
-                to,
+                origin,
                 new OriginTransport.OutboundRequest("s", "GET", "/", "r", null, null, null, 20_000),
                 () -> true,
                 f::complete));
--- a/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
@@ -41,14 +41,16 @@
 
         @Override
         public void writeHeaders(
-                final Origin to, final OriginTransport.OutboundRequest what, final BiConsumer<String, String> put) {
-            put.accept("Id", what.requestId());
+                final Origin origin,
+                final OriginTransport.OutboundRequest request,
+                final BiConsumer<String, String> put) {
+            put.accept("Id", request.requestId());
         }
 
         @Override
         public OriginTransport.OriginResponse read(
-                final Origin to,
-                final OriginTransport.OutboundRequest what,
+                final Origin origin,
+                final OriginTransport.OutboundRequest request,
                 final int status,
                 final Map<String, String> heads,
                 final byte[] body) {
@@ -62,8 +64,10 @@
 
         @Override
         public String error(
-                final Origin to, final OriginTransport.OutboundRequest what, final OriginTransport.OriginResponse got) {
-            return what.requestId().equals(got.headers().get("id")) ? "" : "another request's answer";
+                final Origin origin,
+                final OriginTransport.OutboundRequest request,
+                final OriginTransport.OriginResponse response) {
+            return request.requestId().equals(response.headers().get("id")) ? "" : "another request's answer";
         }
     };
     private final CoreEventLoop loop = new CoreEventLoop();
@@ -86,11 +90,11 @@
 
     private CompletableFuture<OriginTransport.OriginResponse> send(
             final RawPeer peer, final String method, final String id, final long ms) {
-        final Origin to = new Origin("s", "127.0.0.1", peer.port(), "a", ServiceKind.OPEN, 0, 0, false, 1);
+        final Origin origin = new Origin("s", "127.0.0.1", peer.port(), "a", ServiceKind.OPEN, 0, 0, false, 1);
         final CompletableFuture<OriginTransport.OriginResponse> answer = new CompletableFuture<>();
         final byte[] body = method.equals("POST") ? ("for " + id).getBytes(StandardCharsets.US_ASCII) : null;
         loop.execute(() -> port.send(
-                to,
+                origin,
                 new OriginTransport.OutboundRequest("s", method, "/" + id, id, null, body, null, ms),
                 () -> true,
                 answer::complete));
@@ -124,8 +128,9 @@
         return true;
     }
 
-    private static String shown(final OriginTransport.OriginResponse got) {
-        return got.result() + " " + got.status() + " " + new String(got.body(), StandardCharsets.ISO_8859_1);
+    private static String shown(final OriginTransport.OriginResponse response) {
+        return response.result() + " " + response.status() + " "
+                + new String(response.body(), StandardCharsets.ISO_8859_1);
     }
 
     /** A whole answer is shown whole; cut after any byte, by an end or a reset, it is no answer. */
@@ -140,10 +145,10 @@
                     return reset && RawPeer.reset(to);
                 })) {
                     for (int cut = 0; cut < length; cut++) {
-                        final OriginTransport.OriginResponse got = ask(peer, "GET", String.format("i%03d", cut));
+                        final OriginTransport.OriginResponse response = ask(peer, "GET", String.format("i%03d", cut));
                         assertEquals(
                                 OriginTransport.ExchangeResult.LOST,
-                                got.result(),
+                                response.result(),
                                 "cut at " + cut + ", chunked " + chunked);
                     }
                     assertEquals(length, peer.asked().size(), "each was sent once");
@@ -192,8 +197,8 @@
             final String id = asked.heads().get("id");
             return write(to, whole(id.equals("a") ? "earlier" : id, false));
         })) {
-            final OriginTransport.OriginResponse got = ask(peer, "POST", "a");
-            assertEquals("BAD another request's answer", got.result() + " " + got.reason());
+            final OriginTransport.OriginResponse response = ask(peer, "POST", "a");
+            assertEquals("BAD another request's answer", response.result() + " " + response.reason());
             assertEquals("WHOLE 200 body of b", shown(ask(peer, "POST", "b")));
             assertEquals(1, peer.asked().get(1).connection());
         }
@@ -291,15 +296,16 @@
                 }
                 for (final Map.Entry<String, CompletableFuture<OriginTransport.OriginResponse>> entry :
                         asked.entrySet()) {
-                    final OriginTransport.OriginResponse got = entry.getValue().get(30, TimeUnit.SECONDS);
-                    if (got.result() == OriginTransport.ExchangeResult.COMPLETE) {
-                        assertEquals("WHOLE 200 " + body(entry.getKey()), shown(got), "seed " + seed);
+                    final OriginTransport.OriginResponse response =
+                            entry.getValue().get(30, TimeUnit.SECONDS);
+                    if (response.result() == OriginTransport.ExchangeResult.COMPLETE) {
+                        assertEquals("WHOLE 200 " + body(entry.getKey()), shown(response), "seed " + seed);
                         whole++;
                     } else {
                         assertTrue(
-                                got.result() == OriginTransport.ExchangeResult.LOST
-                                        || got.result() == OriginTransport.ExchangeResult.INVALID,
-                                "seed " + seed + ": " + got.result() + " " + got.reason());
+                                response.result() == OriginTransport.ExchangeResult.LOST
+                                        || response.result() == OriginTransport.ExchangeResult.INVALID,
+                                "seed " + seed + ": " + response.result() + " " + response.reason());
                         other++;
                     }
                 }
--- a/server/src/test/java/org/rowanvalve/server/origin/PlainOriginProtocol.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/PlainOriginProtocol.java
@@ -15,14 +15,14 @@
 
     @Override
     public void writeHeaders(
-            final Origin to, final OriginTransport.OutboundRequest what, final BiConsumer<String, String> put) {
-        put.accept("Id", what.requestId());
+            final Origin origin, final OriginTransport.OutboundRequest request, final BiConsumer<String, String> put) {
+        put.accept("Id", request.requestId());
     }
 
     @Override
     public OriginTransport.OriginResponse read(
-            final Origin to,
-            final OriginTransport.OutboundRequest what,
+            final Origin origin,
+            final OriginTransport.OutboundRequest request,
             final int status,
             final Map<String, String> heads,
             final byte[] body) {
@@ -36,7 +36,9 @@
 
     @Override
     public String error(
-            final Origin to, final OriginTransport.OutboundRequest what, final OriginTransport.OriginResponse got) {
+            final Origin origin,
+            final OriginTransport.OutboundRequest request,
+            final OriginTransport.OriginResponse response) {
         return "";
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -40,30 +40,30 @@
 
     public static void main(final String[] args) throws Exception {
         org.rowanvalve.server.process.Main.quiet();
-        final OptionParser p = new OptionParser();
-        p.accepts("seeds", "one seed or a range: 1..20").withRequiredArg().defaultsTo("1");
-        p.accepts("troubles", "how many troubles a day from a seed has")
+        final OptionParser parser = new OptionParser();
+        parser.accepts("seeds", "one seed or a range: 1..20").withRequiredArg().defaultsTo("1");
+        parser.accepts("troubles", "how many troubles a day from a seed has")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(0);
-        p.accepts("seconds", "length of a quiet day")
+        parser.accepts("seconds", "length of a quiet day")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(20L);
-        p.accepts("dir", "folder for a fleet's logs and data").withRequiredArg();
-        p.accepts(
+        parser.accepts("dir", "folder for a fleet's logs and data").withRequiredArg();
+        parser.accepts(
                         "from",
                         "bin folder of another build: a fleet begins on it, each restart brings a machine to this one")
                 .withRequiredArg();
-        p.accepts("shards", "shards of the key space, in a scale run")
+        parser.accepts("shards", "shards of the key space, in a scale run")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(512);
-        p.accepts("figures", "print availability and spread");
-        p.accepts("help", "print this and end");
+        parser.accepts("figures", "print availability and spread");
+        parser.accepts("help", "print this and end");
         final OptionSet options;
         try {
-            options = p.parse(args);
+            options = parser.parse(args);
         } catch (final OptionException e) {
             System.err.println("rwrig: " + e.getMessage());
             System.exit(2);
@@ -73,7 +73,7 @@
                 options.nonOptionArguments().stream().map(String::valueOf).toList();
         if (options.has("help") || w.size() < 2) {
             System.out.println(USAGE);
-            p.printHelpOn(System.out);
+            parser.printHelpOn(System.out);
             System.exit(options.has("help") ? 0 : 2);
         }
         switch (w.get(0)) {
@@ -242,16 +242,16 @@
     }
 
     private static void origin(final List<String> a) throws Exception {
-        final StandInOrigin o = new StandInOrigin(
+        final StandInOrigin origin = new StandInOrigin(
                 a.get(0),
                 new StandInBackend(a.get(1)),
                 a.get(2),
                 a.get(3),
                 List.of(a.get(6).split(",")),
                 new RunLog(Path.of(a.get(5))));
-        o.start(Integer.parseInt(a.get(4)));
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> o.leave(5)));
-        System.out.println("origin " + o.name() + " on port " + o.port());
+        origin.start(Integer.parseInt(a.get(4)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> origin.leave(5)));
+        System.out.println("origin " + origin.name() + " on port " + origin.port());
         Thread.currentThread().join();
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
@@ -52,13 +52,13 @@
         }
         final List<String> sites =
                 machines.values().stream().map(FleetMachine::http).toList();
-        for (final Deployment.Kin k : deployment.kin()) {
+        for (final Deployment.Backend k : deployment.kin()) {
             final StandInBackend backend = new StandInBackend(k.service());
             stocks.put(k.service(), backend);
             for (int i = 1; i <= k.origins(); i++) {
-                final StandInOrigin o = new StandInOrigin(
+                final StandInOrigin origin = new StandInOrigin(
                         k.service() + i, backend, k.kind(), "127." + net + ".1." + (origins.size() + 1), sites, log);
-                origins.put(o.name(), o);
+                origins.put(origin.name(), origin);
             }
         }
         mob = new LoadGenerator(
@@ -122,8 +122,8 @@
         if (status != 200) {
             throw new IOException("the configuration was not accepted: " + status);
         }
-        for (final StandInOrigin o : origins.values()) {
-            o.start(0);
+        for (final StandInOrigin origin : origins.values()) {
+            origin.start(0);
         }
         TimeUnit.SECONDS.sleep(3);
         mob.start();
@@ -239,9 +239,9 @@
         mob.stop();
         desk.stop();
         reap();
-        for (final StandInOrigin o : origins.values()) {
-            if (o.face() != null) {
-                o.close();
+        for (final StandInOrigin origin : origins.values()) {
+            if (origin.face() != null) {
+                origin.close();
             }
         }
         relay.close();
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetMachine.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetMachine.java
@@ -100,23 +100,23 @@
             line.addAll(List.of("--data", data().toString()));
         }
         line.addAll(flags);
-        final ProcessBuilder b = new ProcessBuilder(line);
-        b.environment().put("RW_JAVA", "-Xms16m -Xmx64m -Xss256k -XX:+UseSerialGC -XX:CICompilerCount=1");
-        b.environment().put("RW_TIER", "1");
-        b.redirectError(ProcessBuilder.Redirect.appendTo(
+        final ProcessBuilder builder = new ProcessBuilder(line);
+        builder.environment().put("RW_JAVA", "-Xms16m -Xmx64m -Xss256k -XX:+UseSerialGC -XX:CICompilerCount=1");
+        builder.environment().put("RW_TIER", "1");
+        builder.redirectError(ProcessBuilder.Redirect.appendTo(
                 dir.resolve("err-" + name + ".log").toFile()));
         if (store()) {
-            process = b.start();
+            process = builder.start();
             copy(process.getInputStream());
         } else {
-            b.redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
-            process = b.start();
+            builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+            process = builder.start();
         }
     }
 
     /** A store's log goes through here, since a limit on its files would stop the log as well. */
     private void copy(final InputStream from) {
-        final Thread t = new Thread(
+        final Thread thread = new Thread(
                 () -> {
                     try (OutputStream to =
                             Files.newOutputStream(log(), StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
@@ -126,8 +126,8 @@
                     }
                 },
                 "log-" + name);
-        t.setDaemon(true);
-        t.start();
+        thread.setDaemon(true);
+        thread.start();
     }
 
     void limit(final String bytes) throws IOException, InterruptedException {
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
@@ -31,9 +31,9 @@
             .build();
     private final Map<String, Long> known = new ConcurrentHashMap<>();
     private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(3, r -> {
-        final Thread t = new Thread(r, "desk");
-        t.setDaemon(true);
-        return t;
+        final Thread thread = new Thread(r, "desk");
+        thread.setDaemon(true);
+        return thread;
     });
 
     FleetOperator(
@@ -66,7 +66,7 @@
         final long t = System.currentTimeMillis();
         final int status = put(nodes.get(0), "config", text, 0, "x").statusCode();
         final long end = System.currentTimeMillis();
-        for (final Deployment.Kin k : deployment.kin()) {
+        for (final Deployment.Backend backend : deployment.kin()) {
             log.add(RunLog.row(
                     "log",
                     "op",
@@ -77,19 +77,19 @@
                     "what",
                     "put",
                     "item",
-                    "SERVICE/" + k.service(),
+                    "SERVICE/" + backend.service(),
                     "service",
-                    k.service(),
+                    backend.service(),
                     "kind",
-                    k.kind(),
+                    backend.kind(),
                     "rate",
-                    k.rate(),
+                    backend.rate(),
                     "status",
                     status,
                     "version",
                     1));
-            k.ways()
-                    .forEach(w -> log.add(RunLog.row(
+            backend.trafficClasses()
+                    .forEach(traffic -> log.add(RunLog.row(
                             "log",
                             "op",
                             "t",
@@ -99,7 +99,7 @@
                             "what",
                             "put",
                             "item",
-                            "ROUTE/" + w.route(),
+                            "ROUTE/" + traffic.route(),
                             "status",
                             status,
                             "version",
@@ -145,41 +145,41 @@
         return random.nextDouble();
     }
 
-    private Deployment.EdgeRouting pick() {
-        final List<Deployment.EdgeRouting> ways = deployment.ways().stream()
-                .filter(w -> w.mode().equals("cached") && w.purgeable())
+    private Deployment.TrafficClass pick() {
+        final List<Deployment.TrafficClass> ways = deployment.ways().stream()
+                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
                 .toList();
         return ways.get((int) (roll() * ways.size()));
     }
 
     private void change() {
-        final Deployment.EdgeRouting w = pick();
+        final Deployment.TrafficClass traffic = pick();
         final double r = roll();
-        final String path = w.prefix() + (int) (w.objects() * r * r * r);
+        final String path = traffic.prefix() + (int) (traffic.objects() * r * r * r);
         final String service = deployment.kin().stream()
-                .filter(k -> k.ways().contains(w))
+                .filter(backend -> backend.trafficClasses().contains(traffic))
                 .findFirst()
                 .orElseThrow()
                 .service();
         final long rev = stocks.get(service).change(path);
         log.add(RunLog.row("log", "change", "t", System.currentTimeMillis(), "path", path, "rev", rev));
         if (roll() < 0.33) {
-            clock.execute(() -> purge(w, path));
+            clock.execute(() -> purge(traffic, path));
         }
     }
 
     void purgeAny() {
-        final Deployment.EdgeRouting w = pick();
-        purge(w, w.prefix() + (int) (roll() * w.objects()));
+        final Deployment.TrafficClass traffic = pick();
+        purge(traffic, traffic.prefix() + (int) (roll() * traffic.objects()));
     }
 
-    private void purge(final Deployment.EdgeRouting w, final String path) {
-        final String name = w.route() + "-" + Long.toHexString(org.rowanvalve.common.model.Hash.hash64(path));
+    private void purge(final Deployment.TrafficClass traffic, final String path) {
+        final String name = traffic.route() + "-" + Long.toHexString(org.rowanvalve.common.model.Hash.hash64(path));
         state(
                 "purge",
                 "purges/" + name,
                 "PURGE/" + name,
-                Json.write(Map.of("route", w.route(), "path", path)),
+                Json.write(Map.of("route", traffic.route(), "path", path)),
                 Map.of("path", path));
     }
 
@@ -194,9 +194,10 @@
         int status = 0;
         Object ver = null;
         try {
-            final HttpResponse<String> r = put(any(), path, body, expect, "d-" + t + "-" + (long) (roll() * 1e9));
-            status = r.statusCode();
-            ver = Json.read(r.body(), Map.class).get("version");
+            final HttpResponse<String> response =
+                    put(any(), path, body, expect, "d-" + t + "-" + (long) (roll() * 1e9));
+            status = response.statusCode();
+            ver = Json.read(response.body(), Map.class).get("version");
             if (ver instanceof Number n) {
                 known.merge(item, n.longValue(), Math::max);
             }
@@ -228,40 +229,41 @@
     }
 
     private void restate() {
-        final Deployment.EdgeRouting w = pick();
+        final Deployment.TrafficClass traffic = pick();
         final String service = deployment.kin().stream()
-                .filter(k -> k.ways().contains(w))
+                .filter(backend -> backend.trafficClasses().contains(traffic))
                 .findFirst()
                 .orElseThrow()
                 .service();
         final String body = Json.write(RunLog.row(
                 "prefix",
-                w.prefix(),
+                traffic.prefix(),
                 "service",
                 service,
                 "mode",
-                w.mode(),
+                traffic.mode(),
                 "lifetimeMs",
-                w.lifetimeMs(),
+                traffic.lifetimeMs(),
                 "purgeable",
-                w.purgeable()));
+                traffic.purgeable()));
         for (int i = 0; i < 2; i++) {
-            clock.execute(() -> state("put", "routes/" + w.route(), "ROUTE/" + w.route(), body, Map.of()));
+            clock.execute(() -> state("put", "routes/" + traffic.route(), "ROUTE/" + traffic.route(), body, Map.of()));
         }
     }
 
     int restateService() {
-        final Deployment.Kin k =
+        final Deployment.Backend backend =
                 deployment.kin().get((int) (roll() * deployment.kin().size()));
-        final Map<String, Object> body =
-                k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind());
+        final Map<String, Object> body = backend.rate() > 0
+                ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
+                : RunLog.row("kind", backend.kind());
         body.put("cutoffMs", 1500 + (int) (1000 * roll()));
         return state(
                 "put",
-                "services/" + k.service(),
-                "SERVICE/" + k.service(),
+                "services/" + backend.service(),
+                "SERVICE/" + backend.service(),
                 Json.write(body),
-                Map.of("service", k.service(), "rate", k.rate()));
+                Map.of("service", backend.service(), "rate", backend.rate()));
     }
 
     Map<String, Object> items(final FleetMachine machine) throws IOException, InterruptedException {
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetScenarioRunner.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetScenarioRunner.java
@@ -261,48 +261,48 @@
     }
 
     private void origin(final Scenario.Step step, final String name) throws Exception {
-        final StandInOrigin o = fleet.origins().get(name);
+        final StandInOrigin origin = fleet.origins().get(name);
         fleet.trouble(step.trouble(), name, step.ms());
         switch (step.trouble()) {
-            case "origin-slow" -> fault(o, "none", (long) step.size(), step.ms());
-            case "origin-lose" -> fault(o, "lose", 3, step.ms());
-            case "origin-wrong" -> fault(o, "wrong", 3, step.ms());
+            case "origin-slow" -> fault(origin, "none", (long) step.size(), step.ms());
+            case "origin-lose" -> fault(origin, "lose", 3, step.ms());
+            case "origin-wrong" -> fault(origin, "wrong", 3, step.ms());
             case "origin-replace" -> {
-                final StandInOrigin next = fleet.heir(o);
+                final StandInOrigin next = fleet.heir(origin);
                 in(step.ms(), "replaced", () -> {
-                    if (!o.leave(10)) {
+                    if (!origin.leave(10)) {
                         throw new IOException(name + " could not say that it leaves");
                     }
-                    in(3000, "gone", o::stop);
+                    in(3000, "gone", origin::stop);
                 });
                 next.start(0);
             }
             case "origin-leave" -> {
-                if (!o.leave(10)) {
+                if (!origin.leave(10)) {
                     throw new IOException(name + " could not say that it leaves");
                 }
-                in(step.ms(), "back", () -> again(o));
+                in(step.ms(), "back", () -> again(origin));
             }
             case "origin-swap" -> {
-                final int port = o.port();
-                o.stop();
-                o.start(port, "foreign");
-                in(step.ms(), "back", () -> again(o));
+                final int port = origin.port();
+                origin.stop();
+                origin.start(port, "foreign");
+                in(step.ms(), "back", () -> again(origin));
             }
             default -> {
-                o.stop();
-                in(step.ms(), "back", () -> o.start(0));
+                origin.stop();
+                in(step.ms(), "back", () -> origin.start(0));
             }
         }
     }
 
-    private static void again(final StandInOrigin o) throws Exception {
-        o.stop();
-        o.start(0);
+    private static void again(final StandInOrigin origin) throws Exception {
+        origin.stop();
+        origin.start(0);
     }
 
-    private void fault(final StandInOrigin o, final String kind, final long slow, final long ms) {
-        o.face().fault(kind, slow);
-        in(ms, "mend", () -> o.face().fault("none", 3));
+    private void fault(final StandInOrigin origin, final String kind, final long slow, final long ms) {
+        origin.face().fault(kind, slow);
+        in(ms, "mend", () -> origin.face().fault("none", 3));
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LinkRelay.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LinkRelay.java
@@ -45,7 +45,7 @@
 
     private record Part(long due, ByteBuffer data) {}
 
-    private record EdgeRouting(String link, InetSocketAddress target) {}
+    private record Link(String link, InetSocketAddress target) {}
 
     /** {@code delay} gives the one-way milliseconds of a link named "a>b". */
     public LinkRelay(final ToLongFunction<String> delay) throws IOException {
@@ -56,11 +56,11 @@
 
     public int open(final String a, final String b, final String host, final InetSocketAddress target)
             throws IOException {
-        final ServerSocketChannel s = ServerSocketChannel.open();
-        s.bind(new InetSocketAddress(host, 0), 64);
-        s.configureBlocking(false);
-        s.register(selector, SelectionKey.OP_ACCEPT, new EdgeRouting(a + ">" + b, target));
-        final int port = ((InetSocketAddress) s.getLocalAddress()).getPort();
+        final ServerSocketChannel listener = ServerSocketChannel.open();
+        listener.bind(new InetSocketAddress(host, 0), 64);
+        listener.configureBlocking(false);
+        listener.register(selector, SelectionKey.OP_ACCEPT, new Link(a + ">" + b, target));
+        final int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
         ports.put(a + ">" + b, port);
         return port;
     }
@@ -99,16 +99,16 @@
                 }
                 final var it = selector.selectedKeys().iterator();
                 while (it.hasNext()) {
-                    final SelectionKey k = it.next();
+                    final SelectionKey key = it.next();
                     it.remove();
-                    if (k.isValid()) {
-                        serve(k);
+                    if (key.isValid()) {
+                        serve(key);
                     }
                 }
                 final long now = System.currentTimeMillis();
-                for (final SelectionKey k : selector.keys()) {
-                    if (k.isValid() && k.attachment() instanceof Pipe p) {
-                        flush(p, now);
+                for (final SelectionKey key : selector.keys()) {
+                    if (key.isValid() && key.attachment() instanceof Pipe pipe) {
+                        flush(pipe, now);
                     }
                 }
             } catch (final IOException e) {
@@ -117,99 +117,99 @@
         }
     }
 
-    private void serve(final SelectionKey k) {
-        if (k.attachment() instanceof EdgeRouting w) {
-            accept((ServerSocketChannel) k.channel(), w);
+    private void serve(final SelectionKey key) {
+        if (key.attachment() instanceof Link traffic) {
+            accept((ServerSocketChannel) key.channel(), traffic);
             return;
         }
-        final Pipe p = (Pipe) k.attachment();
+        final Pipe pipe = (Pipe) key.attachment();
         try {
-            if (k.isConnectable()) {
-                ((SocketChannel) k.channel()).finishConnect();
-                k.interestOps(SelectionKey.OP_READ);
+            if (key.isConnectable()) {
+                ((SocketChannel) key.channel()).finishConnect();
+                key.interestOps(SelectionKey.OP_READ);
             }
-            if (k.isReadable()) {
-                read(p);
+            if (key.isReadable()) {
+                read(pipe);
             }
         } catch (final IOException e) {
-            close(p);
+            close(pipe);
         }
     }
 
-    private void accept(final ServerSocketChannel s, final EdgeRouting w) {
+    private void accept(final ServerSocketChannel listener, final Link traffic) {
         try {
-            final SocketChannel a = s.accept();
+            final SocketChannel a = listener.accept();
             if (a == null) {
                 return;
             }
             a.configureBlocking(false);
             final SocketChannel b = SocketChannel.open();
             b.configureBlocking(false);
-            final Pipe there = new Pipe(w.link(), a, b);
-            final Pipe back = new Pipe(w.link(), b, a);
+            final Pipe there = new Pipe(traffic.link(), a, b);
+            final Pipe back = new Pipe(traffic.link(), b, a);
             there.other = back;
             back.other = there;
             a.register(selector, SelectionKey.OP_READ, there);
-            b.connect(w.target());
+            b.connect(traffic.target());
             b.register(selector, SelectionKey.OP_CONNECT, back);
         } catch (final IOException e) {
             jobs.add(() -> {});
         }
     }
 
-    private void read(final Pipe p) throws IOException {
-        if (p.size > ROOM) {
+    private void read(final Pipe pipe) throws IOException {
+        if (pipe.size > ROOM) {
             return;
         }
         final ByteBuffer b = ByteBuffer.allocate(32 << 10);
-        final int n = p.from.read(b);
+        final int n = pipe.from.read(b);
         if (n < 0) {
-            if (p.queue.isEmpty()) {
-                close(p);
+            if (pipe.queue.isEmpty()) {
+                close(pipe);
             } else {
-                p.from.keyFor(selector).interestOps(0);
-                p.queue.addLast(new Part(System.currentTimeMillis(), null));
+                pipe.from.keyFor(selector).interestOps(0);
+                pipe.queue.addLast(new Part(System.currentTimeMillis(), null));
             }
             return;
         }
         b.flip();
-        p.size += n;
-        p.queue.addLast(new Part(
-                System.currentTimeMillis() + delay.applyAsLong(p.link) + (slow == 0 ? 0 : random.nextInt(slow)), b));
+        pipe.size += n;
+        pipe.queue.addLast(new Part(
+                System.currentTimeMillis() + delay.applyAsLong(pipe.link) + (slow == 0 ? 0 : random.nextInt(slow)), b));
     }
 
-    private void flush(final Pipe p, final long now) {
-        if (p.queue.isEmpty() || !p.to.isConnected() || shut(p.link)) {
+    private void flush(final Pipe pipe, final long now) {
+        if (pipe.queue.isEmpty() || !pipe.to.isConnected() || shut(pipe.link)) {
             return;
         }
         try {
-            while (!p.queue.isEmpty() && p.queue.peek().due() <= now) {
-                final Part part = p.queue.peek();
+            while (!pipe.queue.isEmpty() && pipe.queue.peek().due() <= now) {
+                final Part part = pipe.queue.peek();
                 if (part.data() == null) {
-                    close(p);
+                    close(pipe);
                     return;
                 }
-                p.size -= p.to.write(part.data());
+                pipe.size -= pipe.to.write(part.data());
                 if (part.data().hasRemaining()) {
                     return;
                 }
-                p.queue.poll();
+                pipe.queue.poll();
             }
         } catch (final IOException e) {
-            close(p);
+            close(pipe);
         }
     }
 
-    private static void close(final Pipe p) {
-        for (final SocketChannel c : new SocketChannel[] {p.from, p.to}) {
+    private static void close(final Pipe pipe) {
+        for (final SocketChannel channel : new SocketChannel[] {pipe.from, pipe.to}) {
             try {
-                c.close();
+                channel.close();
             } catch (final IOException e) {
-                p.queue.clear();
+                pipe.queue.clear();
             }
         }
-        p.queue.clear();
-        p.other.queue.clear();
+        pipe.queue.clear();
+        pipe.other.queue.clear();
     }
 
     @Override
@@ -221,8 +221,8 @@
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        for (final SelectionKey k : selector.keys()) {
-            k.channel().close();
+        for (final SelectionKey key : selector.keys()) {
+            key.channel().close();
         }
         selector.close();
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
@@ -31,9 +31,9 @@
             .connectTimeout(Duration.ofMillis(1000))
             .build();
     private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(2, r -> {
-        final Thread t = new Thread(r, "mob");
-        t.setDaemon(true);
-        return t;
+        final Thread thread = new Thread(r, "mob");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Map<String, Integer> grades = new ConcurrentHashMap<>();
     private final AtomicLong serial = new AtomicLong();
@@ -72,11 +72,13 @@
                                     .timeout(Duration.ofMillis(700))
                                     .build(),
                             HttpResponse.BodyHandlers.ofString())
-                    .whenComplete((r, e) -> grades.put(
+                    .whenComplete((response, e) -> grades.put(
                             machine.name(),
-                            e != null || r.statusCode() != 200
+                            e != null || response.statusCode() != 200
                                     ? 0
-                                    : ((Number) Json.read(r.body(), Map.class).get("grade")).intValue()));
+                                    : ((Number) Json.read(response.body(), Map.class)
+                                                    .get("grade"))
+                                            .intValue()));
         }
     }
 
@@ -84,10 +86,10 @@
         final long now = System.currentTimeMillis();
         while (on && due <= now) {
             due += -Math.log(1 - random.nextDouble()) * 1000 / (deployment.perSecond() * factor);
-            final Deployment.EdgeRouting w = deployment.pick(random.nextDouble());
+            final Deployment.TrafficClass traffic = deployment.pick(random.nextDouble());
             final double roll = random.nextDouble();
-            final String path = w.prefix() + (int) (w.objects() * roll * roll);
-            send(w, path, w.mode().equals("once") ? "key-" + serial.incrementAndGet() : null, 1);
+            final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll);
+            send(traffic, path, traffic.mode().equals("once") ? "key-" + serial.incrementAndGet() : null, 1);
         }
     }
 
@@ -99,7 +101,7 @@
         return from.get(random.nextInt(from.size()));
     }
 
-    private void send(final Deployment.EdgeRouting w, final String path, final String key, final int turn) {
+    private void send(final Deployment.TrafficClass traffic, final String path, final String key, final int turn) {
         final FleetMachine machine = pick();
         final long t = System.currentTimeMillis();
         final long id = serial.incrementAndGet();
@@ -116,12 +118,12 @@
         }
         http.sendAsync(r.build(), HttpResponse.BodyHandlers.ofByteArray()).whenComplete((a, e) -> {
             open.decrementAndGet();
-            note(w, path, key, turn, machine, t, id, e == null ? a : null);
+            note(traffic, path, key, turn, machine, t, id, e == null ? a : null);
         });
     }
 
     private void note(
-            final Deployment.EdgeRouting w,
+            final Deployment.TrafficClass traffic,
             final String path,
             final String key,
             final int turn,
@@ -151,11 +153,11 @@
                 "node",
                 machine.name(),
                 "route",
-                w.route(),
+                traffic.route(),
                 "mode",
-                w.mode(),
+                traffic.mode(),
                 "life",
-                w.lifetimeMs(),
+                traffic.lifetimeMs(),
                 "path",
                 path,
                 "key",
@@ -185,9 +187,9 @@
                 map.get("rev")));
         final boolean again = !fate.equals("done");
         if (on && again && turn < 4 && roll() < (deployment.hasty() ? 0.9 : 0.4)) {
-            later(deployment.hasty() ? 20 : 500 + (long) (1000 * roll()), () -> send(w, path, key, turn + 1));
+            later(deployment.hasty() ? 20 : 500 + (long) (1000 * roll()), () -> send(traffic, path, key, turn + 1));
         } else if (on && key != null && !again && turn == 1 && roll() < 0.05) {
-            later(200 + (long) (3000 * roll()), () -> send(w, path, key, 9));
+            later(200 + (long) (3000 * roll()), () -> send(traffic, path, key, 9));
         }
     }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInOrigin.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInOrigin.java
@@ -22,9 +22,9 @@
 /** One stand-in origin: it serves, announces itself, renews, and leaves. */
 public final class StandInOrigin {
     private static final ThreadFactory QUIET = r -> {
-        final Thread t = new Thread(r, "originator");
-        t.setDaemon(true);
-        return t;
+        final Thread thread = new Thread(r, "originator");
+        thread.setDaemon(true);
+        return thread;
     };
     private final String name;
     private final StandInBackend backend;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/Chart.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/Chart.java
@@ -19,15 +19,15 @@
         final double[] x = rows.stream().mapToDouble(r -> r.get("nodes")).toArray();
         final List<XYChart> charts = new ArrayList<>();
         for (final String name : names) {
-            final XYChart c = new XYChartBuilder()
+            final XYChart chart = new XYChartBuilder()
                     .width(420)
                     .height(280)
                     .title(name)
                     .xAxisTitle("nodes")
                     .build();
-            c.getStyler().setYAxisMin(0.0).setLegendVisible(false);
-            c.addSeries(name, x, rows.stream().mapToDouble(r -> r.get(name)).toArray());
-            charts.add(c);
+            chart.getStyler().setYAxisMin(0.0).setLegendVisible(false);
+            chart.addSeries(name, x, rows.stream().mapToDouble(r -> r.get(name)).toArray());
+            charts.add(chart);
         }
         BitmapEncoder.saveBitmap(charts, (names.size() + 2) / 3, 3, file.toString(), BitmapEncoder.BitmapFormat.PNG);
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
@@ -72,7 +72,7 @@
                 .quorum(seat.quorum())
                 .shards(seat.shards())
                 .build();
-        final org.rowanvalve.data.origin.OriginTransport none = (to, what, gate, then) -> {
+        final org.rowanvalve.data.origin.OriginTransport none = (origin, request, gate, then) -> {
             then.accept(org.rowanvalve.data.origin.OriginTransport.OriginResponse.without(
                     org.rowanvalve.data.origin.OriginTransport.ExchangeResult.NOT_SENT, "hollow"));
             return () -> {};
@@ -106,18 +106,19 @@
     }
 
     @Override
-    public void request(final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
+    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         if (cut) {
             loop.schedule(wait, () -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         } else {
-            wire.request(to, msg, wait, reply -> then.accept(cut ? Reply.failed(Reply.Failure.NO_RESPONSE) : reply));
+            wire.request(
+                    recipient, msg, wait, reply -> then.accept(cut ? Reply.failed(Reply.Failure.NO_RESPONSE) : reply));
         }
     }
 
     @Override
-    public void send(final NodeId to, final Message msg) {
+    public void send(final NodeId recipient, final Message msg) {
         if (!cut) {
-            wire.send(to, msg);
+            wire.send(recipient, msg);
         }
     }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNodes.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNodes.java
@@ -127,16 +127,16 @@
 
     /** At once, as by loss of power. */
     void end(final List<LightweightNode> which) {
-        which.forEach(h -> {
-            h.stop();
-            waves.gone(h.id());
+        which.forEach(node -> {
+            node.stop();
+            waves.gone(node.id());
         });
     }
 
     /** Anew, with the same names at other addresses. */
     void begin(final List<LightweightNode> which) throws IOException {
-        for (final LightweightNode h : which) {
-            add(h.id(), h.role(), h.node().settings().self().location(), seat, 0);
+        for (final LightweightNode node : which) {
+            add(node.id(), node.role(), node.node().settings().self().location(), seat, 0);
         }
     }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/PropagationTracker.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/PropagationTracker.java
@@ -30,25 +30,25 @@
     }
 
     void hit(final Item item, final NodeId at) {
-        final Wave w = open.get(key(item));
-        if (w != null && w.left().remove(at)) {
-            final long us = (System.nanoTime() - w.from()) / 1000;
+        final Wave wave = open.get(key(item));
+        if (wave != null && wave.left().remove(at)) {
+            final long us = (System.nanoTime() - wave.from()) / 1000;
             each.recordValue(Math.min(us, 60_000_000));
-            end(key(item), w, us);
+            end(key(item), wave, us);
         }
     }
 
-    private void end(final String key, final Wave w, final long us) {
-        if (w.left().isEmpty() && open.remove(key, w)) {
+    private void end(final String key, final Wave wave, final long us) {
+        if (wave.left().isEmpty() && open.remove(key, wave)) {
             all.recordValue(Math.min(us, 60_000_000));
         }
     }
 
     /** A node that ends is not waited for. */
     void gone(final NodeId node) {
-        open.forEach((k, w) -> {
-            if (w.left().remove(node)) {
-                end(k, w, (System.nanoTime() - w.from()) / 1000);
+        open.forEach((k, wave) -> {
+            if (wave.left().remove(node)) {
+                end(k, wave, (System.nanoTime() - wave.from()) / 1000);
             }
         });
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/ResourceUsage.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ResourceUsage.java
@@ -15,8 +15,8 @@
     private ResourceUsage() {}
 
     /** Milliseconds of processor time that a hollow node's two threads have had. */
-    static double node(final LightweightNode h) {
-        return (thread(h.core()) + thread(h.tally().wire())) / 1e6;
+    static double node(final LightweightNode node) {
+        return (thread(node.core()) + thread(node.tally().wire())) / 1e6;
     }
 
     private static long thread(final long id) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
@@ -99,7 +99,7 @@
     }
 
     private List<NodeId> ids(final Role role, final Snapshot shot) {
-        return herd.up(h -> h.role() == role && shot.counts().containsKey(h.id())).stream()
+        return herd.up(node -> node.role() == role && shot.counts().containsKey(node.id())).stream()
                 .map(LightweightNode::id)
                 .toList();
     }
@@ -109,10 +109,10 @@
         final Map<NodeId, Double> cpu = new HashMap<>();
         final Map<NodeId, String> lives = new HashMap<>();
         final Map<String, Double> process = new LinkedHashMap<>();
-        herd.up().forEach(h -> {
-            counts.put(h.id(), h.tally().counts());
-            cpu.put(h.id(), ResourceUsage.node(h));
-            lives.put(h.id(), h.node().settings().self().incarnation());
+        herd.up().forEach(node -> {
+            counts.put(node.id(), node.tally().counts());
+            cpu.put(node.id(), ResourceUsage.node(node));
+            lives.put(node.id(), node.node().settings().self().incarnation());
         });
         for (final FleetMachine machine : herd.real().values()) {
             process.put(machine.name(), ResourceUsage.process(machine));
@@ -150,7 +150,9 @@
 
     /** Operators come to three edges. */
     private List<LightweightNode> doors() {
-        return herd.up(h -> h.role() == Role.EDGE && !h.cut()).stream().limit(3).toList();
+        return herd.up(node -> node.role() == Role.EDGE && !node.cut()).stream()
+                .limit(3)
+                .toList();
     }
 
     private LightweightNode door() {
@@ -158,17 +160,17 @@
     }
 
     private List<NodeId> reach() {
-        return herd.up(h -> !h.cut()).stream().map(LightweightNode::id).toList();
+        return herd.up(node -> !node.cut()).stream().map(LightweightNode::id).toList();
     }
 
     private void purge(final boolean timed) {
         final Purge purge = new Purge(null, "/page/" + serial++, null, "shop.example", null);
         final String key = Json.write(purge);
-        final LightweightNode at = door();
+        final LightweightNode node = door();
         if (timed) {
             herd.waves().begin(key, reach());
         }
-        at.loop().execute(() -> at.node().updateService().purge(purge, said -> said(key, said.status())));
+        node.loop().execute(() -> node.node().updateService().purge(purge, said -> said(key, said.status())));
     }
 
     private void said(final String key, final int status) {
@@ -205,10 +207,10 @@
     private void configs() throws InterruptedException {
         for (int i = 0; i < 5; i++) {
             final ItemId id = new ItemId(ItemKind.SERVICE, "store-" + serial++);
-            final LightweightNode at = door();
+            final LightweightNode node = door();
             herd.waves().begin(id.text(), reach());
-            at.loop()
-                    .execute(() -> at.node()
+            node.loop()
+                    .execute(() -> node.node()
                             .configurationService()
                             .putItem(
                                     id,
@@ -225,8 +227,8 @@
     private void zone() throws IOException, InterruptedException {
         final String cell = LightweightNodes.cell(5);
         final List<LightweightNode> zone =
-                herd.up(h -> h.node().settings().self().location().equals(cell)
-                        && !herd.electors().contains(h.id()));
+                herd.up(node -> node.node().settings().self().location().equals(cell)
+                        && !herd.electors().contains(node.id()));
         final Snapshot one = shot();
         purges(3, true);
         herd.end(zone);
@@ -237,7 +239,9 @@
         final List<NodeId> ids = zone.stream().map(LightweightNode::id).toList();
         row.put(
                 "zone_back_ms",
-                PAUSE + (double) LightweightNodes.until(herd.up(h -> ids.contains(h.id())), 20_000, herd::settled));
+                PAUSE
+                        + (double) LightweightNodes.until(
+                                herd.up(node -> ids.contains(node.id())), 20_000, herd::settled));
         purges(3, true);
         window("zone_", one, shot());
         times("zone_purge_");
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/Deployment.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Deployment.java
@@ -20,7 +20,7 @@
         long regionMs,
         long syncMs,
         int perSecond,
-        List<Kin> kin,
+        List<Backend> kin,
         boolean hasty,
         boolean shieldRun,
         int losses,
@@ -31,10 +31,10 @@
     private static final String HOST = "shop.example";
 
     /** A service, its origins, and the routes to it; {@code share} of requests each route gets. */
-    public record Kin(String service, String kind, double rate, int origins, List<EdgeRouting> ways) {}
+    public record Backend(String service, String kind, double rate, int origins, List<TrafficClass> trafficClasses) {}
 
     /** {@code host} and {@code split} are for routes of a shield-run place: which services share the requests, by weight. */
-    public record EdgeRouting(
+    public record TrafficClass(
             String route,
             String prefix,
             String mode,
@@ -44,7 +44,7 @@
             int objects,
             String host,
             Map<String, Integer> split) {
-        public EdgeRouting(
+        public TrafficClass(
                 final String route,
                 final String prefix,
                 final String mode,
@@ -55,14 +55,14 @@
             this(route, prefix, mode, lifetimeMs, purgeable, share, objects, "", Map.of());
         }
 
-        static EdgeRouting at(
+        static TrafficClass at(
                 final String route,
                 final String mode,
                 final long lifetimeMs,
                 final double share,
                 final int objects,
                 final Map<String, Integer> split) {
-            return new EdgeRouting(
+            return new TrafficClass(
                     route, "/" + route + "/", mode, lifetimeMs, true, share, objects, HOST, new TreeMap<>(split));
         }
 
@@ -82,32 +82,32 @@
                 1,
                 370,
                 List.of(
-                        new Kin(
+                        new Backend(
                                 "stock",
                                 "content",
                                 60,
                                 4,
-                                List.of(new EdgeRouting("stock", "/stock/", "cached", 2000, true, 0.667, 120))),
-                        new Kin(
+                                List.of(new TrafficClass("stock", "/stock/", "cached", 2000, true, 0.667, 120))),
+                        new Backend(
                                 "catalog",
                                 "content",
                                 30,
                                 3,
                                 List.of(
-                                        new EdgeRouting("catalog", "/catalog/", "cached", 15_000, true, 0.15, 80),
-                                        new EdgeRouting("terms", "/terms/", "cached", 60_000, false, 0.02, 5))),
-                        new Kin(
+                                        new TrafficClass("catalog", "/catalog/", "cached", 15_000, true, 0.15, 80),
+                                        new TrafficClass("terms", "/terms/", "cached", 60_000, false, 0.02, 5))),
+                        new Backend(
                                 "reserve",
                                 "booking",
                                 0,
                                 3,
-                                List.of(new EdgeRouting("reserve", "/reserve/", "once", 0, true, 0.06, 50))),
-                        new Kin(
+                                List.of(new TrafficClass("reserve", "/reserve/", "once", 0, true, 0.06, 50))),
+                        new Backend(
                                 "collect",
                                 "booking",
                                 0,
                                 2,
-                                List.of(new EdgeRouting("collect", "/collect/", "status", 0, true, 0.103, 200)))),
+                                List.of(new TrafficClass("collect", "/collect/", "status", 0, true, 0.103, 200)))),
                 false,
                 false,
                 0,
@@ -124,32 +124,32 @@
                 5,
                 225,
                 List.of(
-                        new Kin(
+                        new Backend(
                                 "listing",
                                 "content",
                                 40,
                                 4,
                                 List.of(
-                                        new EdgeRouting("listing", "/courses/", "cached", 5000, true, 0.45, 150),
-                                        new EdgeRouting("campus", "/campus/", "cached", 60_000, false, 0.05, 8))),
-                        new Kin(
+                                        new TrafficClass("listing", "/courses/", "cached", 5000, true, 0.45, 150),
+                                        new TrafficClass("campus", "/campus/", "cached", 60_000, false, 0.05, 8))),
+                        new Backend(
                                 "seats",
                                 "content",
                                 50,
                                 3,
-                                List.of(new EdgeRouting("seats", "/seats/", "cached", 1500, true, 0.25, 60))),
-                        new Kin(
+                                List.of(new TrafficClass("seats", "/seats/", "cached", 1500, true, 0.25, 60))),
+                        new Backend(
                                 "claim",
                                 "booking",
                                 0,
                                 3,
-                                List.of(new EdgeRouting("claim", "/claim/", "once", 0, true, 0.1, 60))),
-                        new Kin(
+                                List.of(new TrafficClass("claim", "/claim/", "once", 0, true, 0.1, 60))),
+                        new Backend(
                                 "apply",
                                 "booking",
                                 0,
                                 2,
-                                List.of(new EdgeRouting("status", "/status/", "status", 0, true, 0.15, 300)))),
+                                List.of(new TrafficClass("status", "/status/", "status", 0, true, 0.15, 300)))),
                 true,
                 false,
                 0,
@@ -167,26 +167,28 @@
                 1,
                 180,
                 List.of(
-                        new Kin(
+                        new Backend(
                                 "shelf",
                                 "open",
                                 60,
                                 4,
                                 List.of(
-                                        EdgeRouting.at(
+                                        TrafficClass.at(
                                                 "gate", "cached", 2000, 0.55, 120, Map.of("shelf", 90, "annex", 10)),
-                                        EdgeRouting.at("catalogue", "cached", 15_000, 0.15, 80, Map.of("shelf", 100)))),
-                        new Kin("annex", "open", 30, 2, List.of()),
-                        new Kin(
+                                        TrafficClass.at(
+                                                "catalogue", "cached", 15_000, 0.15, 80, Map.of("shelf", 100)))),
+                        new Backend("annex", "open", 30, 2, List.of()),
+                        new Backend(
                                 "till",
                                 "open",
                                 0,
                                 6,
                                 List.of(
-                                        EdgeRouting.at("reserve", "once", 0, 0.1, 50, Map.of("till", 70, "desk", 30)),
-                                        EdgeRouting.at("collect", "status", 0, 0.13, 200, Map.of("till", 100)),
-                                        EdgeRouting.at("hold", "single", 0, 0.07, 50, Map.of("till", 50, "desk", 50)))),
-                        new Kin("desk", "open", 0, 3, List.of())),
+                                        TrafficClass.at("reserve", "once", 0, 0.1, 50, Map.of("till", 70, "desk", 30)),
+                                        TrafficClass.at("collect", "status", 0, 0.13, 200, Map.of("till", 100)),
+                                        TrafficClass.at(
+                                                "hold", "single", 0, 0.07, 50, Map.of("till", 50, "desk", 50)))),
+                        new Backend("desk", "open", 0, 3, List.of())),
                 false,
                 true,
                 1,
@@ -203,38 +205,38 @@
                 5,
                 150,
                 List.of(
-                        new Kin(
+                        new Backend(
                                 "listing",
                                 "open",
                                 60,
                                 4,
                                 List.of(
-                                        EdgeRouting.at("course", "cached", 5000, 0.45, 150, Map.of("listing", 100)),
-                                        EdgeRouting.at(
+                                        TrafficClass.at("course", "cached", 5000, 0.45, 150, Map.of("listing", 100)),
+                                        TrafficClass.at(
                                                 "seats",
                                                 "cached",
                                                 1500,
                                                 0.2,
                                                 60,
                                                 Map.of("listing", 80, "mirror", 20)))),
-                        new Kin("mirror", "open", 30, 2, List.of()),
-                        new Kin(
+                        new Backend("mirror", "open", 30, 2, List.of()),
+                        new Backend(
                                 "registrar",
                                 "open",
                                 0,
                                 6,
                                 List.of(
-                                        EdgeRouting.at(
+                                        TrafficClass.at(
                                                 "claim", "once", 0, 0.15, 60, Map.of("registrar", 80, "clerk", 20)),
-                                        EdgeRouting.at("status", "status", 0, 0.15, 300, Map.of("registrar", 100)),
-                                        EdgeRouting.at(
+                                        TrafficClass.at("status", "status", 0, 0.15, 300, Map.of("registrar", 100)),
+                                        TrafficClass.at(
                                                 "waitlist",
                                                 "single",
                                                 0,
                                                 0.05,
                                                 50,
                                                 Map.of("registrar", 50, "clerk", 50)))),
-                        new Kin("clerk", "open", 0, 3, List.of())),
+                        new Backend("clerk", "open", 0, 3, List.of())),
                 true,
                 true,
                 1,
@@ -317,9 +319,9 @@
 
     public List<String> origins() {
         final List<String> list = new ArrayList<>();
-        kin.forEach(k -> {
-            for (int i = 1; i <= k.origins(); i++) {
-                list.add(k.service() + i);
+        kin.forEach(backend -> {
+            for (int i = 1; i <= backend.origins(); i++) {
+                list.add(backend.service() + i);
             }
         });
         return list;
@@ -355,32 +357,43 @@
     public String config() {
         final Map<String, Object> services = RunLog.row();
         final Map<String, Object> routes = RunLog.row();
-        for (final Kin k : kin) {
+        for (final Backend backend : kin) {
             services.put(
-                    k.service(),
-                    k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind()));
-            for (final EdgeRouting w : k.ways()) {
+                    backend.service(),
+                    backend.rate() > 0
+                            ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
+                            : RunLog.row("kind", backend.kind()));
+            for (final TrafficClass traffic : backend.trafficClasses()) {
                 final Map<String, Object> r = RunLog.row(
-                        "prefix", w.prefix(), "service", k.service(), "mode", w.mode(), "purgeable", w.purgeable());
-                if (w.mode().equals("cached")) {
-                    r.put("lifetimeMs", w.lifetimeMs());
+                        "prefix",
+                        traffic.prefix(),
+                        "service",
+                        backend.service(),
+                        "mode",
+                        traffic.mode(),
+                        "purgeable",
+                        traffic.purgeable());
+                if (traffic.mode().equals("cached")) {
+                    r.put("lifetimeMs", traffic.lifetimeMs());
                 }
-                routes.put(w.route(), r);
+                routes.put(traffic.route(), r);
             }
         }
         return Json.write(RunLog.row("services", services, "routes", routes));
     }
 
-    public List<EdgeRouting> ways() {
-        return kin.stream().flatMap(k -> k.ways().stream()).toList();
+    public List<TrafficClass> ways() {
+        return kin.stream()
+                .flatMap(backend -> backend.trafficClasses().stream())
+                .toList();
     }
 
-    public EdgeRouting pick(final double roll) {
+    public TrafficClass pick(final double roll) {
         double sum = 0;
-        for (final EdgeRouting w : ways()) {
-            sum += w.share();
+        for (final TrafficClass traffic : ways()) {
+            sum += traffic.share();
             if (roll < sum) {
-                return w;
+                return traffic;
             }
         }
         return ways().get(0);
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
@@ -159,15 +159,15 @@
     }
 
     public static Scenario read(final byte[] data, final List<ValidationError> faults) {
-        final Object o = JsonReader.read(data, faults);
-        final JsonObjectReader object = new JsonObjectReader(o, "", faults);
+        final Object value = JsonReader.read(data, faults);
+        final JsonObjectReader object = new JsonObjectReader(value, "", faults);
         final String name = object.text("name", true, "");
         final String place = object.oneOf("place", Deployment.NAMES);
         final long seconds = object.wholeNumber("seconds", true, 60, 1, 3600);
         object.knownMembers("steps");
         final Deployment at = Deployment.NAMES.contains(place) ? Deployment.of(place) : Deployment.kilimanjaro();
         final List<Step> steps = new ArrayList<>();
-        if (o instanceof Map<?, ?> m && m.get("steps") instanceof List<?> list) {
+        if (value instanceof Map<?, ?> m && m.get("steps") instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
                 steps.add(step(new JsonObjectReader(list.get(i), "/steps/" + i, faults), at, seconds));
             }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/ScenarioGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/ScenarioGenerator.java
@@ -73,11 +73,12 @@
     /** The second trouble comes within a second and a half of the first. Two that touch stores touch the same one: a lost disk at a time. */
     public static Scenario pair(final Deployment deployment, final List<String> two, final long seed) {
         final Random random = new Random(seed * 131 + two.hashCode());
-        final Step a = FaultGenerator.draw(deployment, random, two.get(0), 2000);
-        final Step b = FaultGenerator.draw(deployment, random, two.get(1), 2000 + random.nextInt(1500));
+        final Step first = FaultGenerator.draw(deployment, random, two.get(0), 2000);
+        final Step second = FaultGenerator.draw(deployment, random, two.get(1), 2000 + random.nextInt(1500));
         final boolean flip = random.nextBoolean();
         final String store = FaultGenerator.disk(deployment, random);
-        final List<Step> steps = java.util.stream.Stream.of(flip ? b.at(2000) : a, flip ? a.at(b.at()) : b)
+        final List<Step> steps = java.util.stream.Stream.of(
+                        flip ? second.at(2000) : first, flip ? first.at(second.at()) : second)
                 .map(step -> Scenario.ORIGINS.contains(step.trouble())
                                 || step.who().isEmpty()
                         ? step
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreFaults.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreFaults.java
@@ -205,11 +205,11 @@
         if (step.how("taken")) {
             cluster.crowd().onceAccepted(loss::strike);
         } else if (step.how("timed")) {
-            cluster.orderOperator().change(loss::strikeSoon, (at, status) -> loss.missed());
+            cluster.orderOperator().change(loss::strikeSoon, (node, status) -> loss.missed());
         } else {
-            cluster.orderOperator().change(at -> {}, (at, status) -> {
+            cluster.orderOperator().change(node -> {}, (node, status) -> {
                 if (status == 200) {
-                    loss.strike(at.id().text());
+                    loss.strike(node.id().text());
                 } else {
                     loss.missed();
                 }
@@ -228,12 +228,12 @@
             this.done = done;
         }
 
-        void strikeSoon(final SimNode at) {
+        void strikeSoon(final SimNode node) {
             if (!decided) {
                 decided = true;
                 world().in(
                                 EARLIEST_MS + random().nextInt(TIMED_SPAN_MS),
-                                () -> hit(at.id().text()));
+                                () -> hit(node.id().text()));
             }
         }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
@@ -47,11 +47,11 @@
 
     void apply(final String text) {
         final long t = cluster.world().now();
-        final SimNode at = cluster.anyNode();
-        at.execute(() -> at.node()
+        final SimNode node = cluster.anyNode();
+        node.execute(() -> node.node()
                 .configurationService()
-                .applyConfiguration(text.getBytes(StandardCharsets.UTF_8), s -> {
-                    for (final Deployment.Kin k : cluster.place().kin()) {
+                .applyConfiguration(text.getBytes(StandardCharsets.UTF_8), response -> {
+                    for (final Deployment.Backend backend : cluster.place().kin()) {
                         cluster.log()
                                 .add(RunLog.row(
                                         "log",
@@ -63,19 +63,19 @@
                                         "what",
                                         "put",
                                         "item",
-                                        "SERVICE/" + k.service(),
+                                        "SERVICE/" + backend.service(),
                                         "service",
-                                        k.service(),
+                                        backend.service(),
                                         "kind",
-                                        k.kind(),
+                                        backend.kind(),
                                         "rate",
-                                        k.rate(),
+                                        backend.rate(),
                                         "status",
-                                        s.status(),
+                                        response.status(),
                                         "version",
                                         1));
-                        k.ways()
-                                .forEach(w -> cluster.log()
+                        backend.trafficClasses()
+                                .forEach(traffic -> cluster.log()
                                         .add(RunLog.row(
                                                 "log",
                                                 "op",
@@ -86,9 +86,9 @@
                                                 "what",
                                                 "put",
                                                 "item",
-                                                "ROUTE/" + w.route(),
+                                                "ROUTE/" + traffic.route(),
                                                 "status",
-                                                s.status(),
+                                                response.status(),
                                                 "version",
                                                 1)));
                     }
@@ -100,14 +100,14 @@
         if (!on) {
             return;
         }
-        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
-                .filter(w -> w.mode().equals("cached") && w.purgeable())
+        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
+                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
                 .toList();
-        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
+        final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
         final double roll = cluster.world().dice().nextDouble();
-        final String path = w.prefix() + (int) (w.objects() * roll * roll * roll);
+        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll * roll);
         final String service = cluster.place().kin().stream()
-                .filter(k -> k.ways().contains(w))
+                .filter(backend -> backend.trafficClasses().contains(traffic))
                 .findFirst()
                 .orElseThrow()
                 .service();
@@ -117,9 +117,9 @@
             final boolean wide = cluster.world().dice().nextInt(4) == 0;
             cluster.world().in(50, () -> {
                 if (wide) {
-                    sweep(w.route(), path.substring(0, w.prefix().length() + 1));
+                    sweep(traffic.route(), path.substring(0, traffic.prefix().length() + 1));
                 } else {
-                    purge(w.route(), path);
+                    purge(traffic.route(), path);
                 }
             });
         }
@@ -128,33 +128,34 @@
 
     @Override
     public void purge() {
-        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
-                .filter(w -> w.mode().equals("cached") && w.purgeable())
+        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
+                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
                 .toList();
-        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
-        purge(w.route(), w.prefix() + cluster.world().dice().nextInt(w.objects()));
+        final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
+        purge(traffic.route(), traffic.prefix() + cluster.world().dice().nextInt(traffic.objects()));
     }
 
     @Override
     public void state(final IntConsumer then) {
-        final Deployment.Kin k = cluster.place()
+        final Deployment.Backend backend = cluster.place()
                 .kin()
                 .get(cluster.world().dice().nextInt(cluster.place().kin().size()));
-        final Map<String, Object> body =
-                k.rate() > 0 ? RunLog.row("kind", k.kind(), "rate", k.rate()) : RunLog.row("kind", k.kind());
+        final Map<String, Object> body = backend.rate() > 0
+                ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
+                : RunLog.row("kind", backend.kind());
         body.put("cutoffMs", 1500 + cluster.world().dice().nextInt(1000));
         put(
                 "put",
-                new ItemId(ItemKind.SERVICE, k.service()),
+                new ItemId(ItemKind.SERVICE, backend.service()),
                 Json.write(body),
-                Map.of("service", k.service(), "rate", k.rate()),
+                Map.of("service", backend.service(), "rate", backend.rate()),
                 r -> then.accept(r.status()));
     }
 
     @Override
     public void invalid(final IntConsumer then) {
-        final SimNode at = cluster.anyNode();
-        if (at == null) {
+        final SimNode node = cluster.anyNode();
+        if (node == null) {
             then.accept(0);
             return;
         }
@@ -162,7 +163,7 @@
                 "{\"routes\":{\"x\":{\"prefix\":\"/x/\",\"service\":\"nobody\",\"mode\":\"cached\",\"lifetimeMs\":-1}}}"
                         .getBytes(StandardCharsets.UTF_8);
         final long t = cluster.world().now();
-        at.execute(() -> at.node().configurationService().applyConfiguration(bad, s -> {
+        node.execute(() -> node.node().configurationService().applyConfiguration(bad, response -> {
             cluster.log()
                     .add(RunLog.row(
                             "log",
@@ -174,8 +175,8 @@
                             "what",
                             "invalid",
                             "status",
-                            s.status()));
-            then.accept(s.status());
+                            response.status()));
+            then.accept(response.status());
         }));
     }
 
@@ -186,7 +187,7 @@
                 new ItemId(ItemKind.PURGE, name),
                 Json.write(Map.of("route", route, "path", path)),
                 Map.of("path", path),
-                s -> {});
+                response -> {});
     }
 
     private void sweep(final String route, final String prefix) {
@@ -196,7 +197,7 @@
                 new ItemId(ItemKind.PURGE, name),
                 Json.write(Map.of("route", route, "prefix", prefix)),
                 Map.of("prefix", prefix),
-                s -> {});
+                response -> {});
     }
 
     /** A route that is stated and deleted in turn, so that callers can see whether it is in force. */
@@ -210,7 +211,7 @@
         final String body = shown
                 ? Json.write(Map.of("prefix", "/blink/", "service", service, "mode", "cached", "lifetimeMs", 500))
                 : null;
-        put("blink", id, body, Map.of("shown", shown), s -> {});
+        put("blink", id, body, Map.of("shown", shown), response -> {});
         cluster.world().in(7000, this::blink);
     }
 
@@ -249,19 +250,19 @@
             final String body,
             final Map<String, Object> more,
             final Consumer<ApiResponse> then) {
-        final SimNode at = cluster.anyNode();
-        if (at == null) {
+        final SimNode node = cluster.anyNode();
+        if (node == null) {
             return;
         }
         final long t = cluster.world().now();
         final long expect = known.getOrDefault(
                 id.text(), id.kind() == ItemKind.PURGE || id.name().equals("blink") ? 0L : 1L);
         final String tag = "op-" + ++serial;
-        final long life = at.life();
+        final long life = node.life();
         cluster.world().in(1, () -> {
-            if (at.alive() && at.life() == life) {
-                final Consumer<ApiResponse> back = s -> {
-                    if (s.body().get("version") instanceof Number n) {
+            if (node.alive() && node.life() == life) {
+                final Consumer<ApiResponse> back = response -> {
+                    if (response.body().get("version") instanceof Number n) {
                         known.merge(id.text(), n.longValue(), Math::max);
                     }
                     final Map<String, Object> row = RunLog.row(
@@ -280,20 +281,20 @@
                             "tag",
                             tag,
                             "at",
-                            at.id().text(),
+                            node.id().text(),
                             "status",
-                            s.status(),
+                            response.status(),
                             "version",
-                            s.body().get("version"));
+                            response.body().get("version"));
                     row.putAll(more);
                     cluster.log().add(row);
-                    then.accept(s);
+                    then.accept(response);
                 };
-                at.execute(() -> {
+                node.execute(() -> {
                     if (body == null) {
-                        at.node().configurationService().deleteItem(id, expect, tag, back);
+                        node.node().configurationService().deleteItem(id, expect, tag, back);
                     } else {
-                        at.node()
+                        node.node()
                                 .configurationService()
                                 .putItem(id, body.getBytes(StandardCharsets.UTF_8), expect, tag, back);
                     }
@@ -307,28 +308,28 @@
         if (!on) {
             return;
         }
-        final List<Deployment.EdgeRouting> ways = cluster.place().ways().stream()
-                .filter(w -> w.mode().equals("cached"))
+        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
+                .filter(traffic -> traffic.mode().equals("cached"))
                 .toList();
-        final Deployment.EdgeRouting w = ways.get(cluster.world().dice().nextInt(ways.size()));
+        final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
         final String service = cluster.place().kin().stream()
-                .filter(k -> k.ways().contains(w))
+                .filter(backend -> backend.trafficClasses().contains(traffic))
                 .findFirst()
                 .orElseThrow()
                 .service();
         final String body = Json.write(RunLog.row(
                 "prefix",
-                w.prefix(),
+                traffic.prefix(),
                 "service",
                 service,
                 "mode",
-                w.mode(),
+                traffic.mode(),
                 "lifetimeMs",
-                w.lifetimeMs(),
+                traffic.lifetimeMs(),
                 "purgeable",
-                w.purgeable()));
+                traffic.purgeable()));
         for (int i = 0; i < 2; i++) {
-            put("put", new ItemId(ItemKind.ROUTE, w.route()), body, Map.of("race", serial / 2), s -> {});
+            put("put", new ItemId(ItemKind.ROUTE, traffic.route()), body, Map.of("race", serial / 2), response -> {});
         }
         cluster.world().in(2500 + cluster.world().dice().nextInt(2000), this::restate);
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ScenarioRunner.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ScenarioRunner.java
@@ -303,30 +303,30 @@
             cluster.origins().reuse(name, step.ms());
             return;
         }
-        final SimOrigin o = cluster.origins().get(name);
+        final SimOrigin origin = cluster.origins().get(name);
         cluster.trouble(step.trouble(), name, step.ms());
         switch (step.trouble()) {
             case "origin-crash" -> {
-                o.kill();
-                cluster.world().in(step.ms(), o::start);
+                origin.kill();
+                cluster.world().in(step.ms(), origin::start);
             }
-            case "origin-slow" -> fault(o, "none", (long) step.size(), step.ms());
-            case "origin-lose" -> fault(o, "lose", o.make().ms(), step.ms());
-            case "origin-wrong" -> fault(o, "wrong", o.make().ms(), step.ms());
-            case "origin-surplus" -> fault(o, "surplus", o.make().ms(), step.ms());
+            case "origin-slow" -> fault(origin, "none", (long) step.size(), step.ms());
+            case "origin-lose" -> fault(origin, "lose", origin.make().ms(), step.ms());
+            case "origin-wrong" -> fault(origin, "wrong", origin.make().ms(), step.ms());
+            case "origin-surplus" -> fault(origin, "surplus", origin.make().ms(), step.ms());
             case "origin-swap" -> cluster.origins().swap(name, step.ms());
             default -> {
-                o.leave();
+                origin.leave();
                 cluster.world().in(step.ms(), () -> {
-                    o.quit();
-                    cluster.world().in(1000, o::start);
+                    origin.quit();
+                    cluster.world().in(1000, origin::start);
                 });
             }
         }
     }
 
-    private void fault(final SimOrigin o, final String kind, final long slow, final long ms) {
-        o.fault(kind, slow);
-        cluster.world().in(ms, o::heal);
+    private void fault(final SimOrigin origin, final String kind, final long slow, final long ms) {
+        origin.fault(kind, slow);
+        cluster.world().in(ms, origin::heal);
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -65,12 +65,12 @@
     }
 
     private void one() {
-        final Deployment.EdgeRouting w =
+        final Deployment.TrafficClass traffic =
                 cluster.place().pick(cluster.world().dice().nextDouble());
         final double roll = cluster.world().dice().nextDouble();
-        final String path = w.prefix() + (int) (w.objects() * roll * roll);
-        final String key = w.mode().equals("once") ? "key-" + ++keys : null;
-        send(w, path, key, 1);
+        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll);
+        final String key = traffic.mode().equals("once") ? "key-" + ++keys : null;
+        send(traffic, path, key, 1);
     }
 
     /** The platform picks by readiness among the nodes it can see. */
@@ -97,10 +97,11 @@
     }
 
     /** With a name of its own for this try, and how long the caller waits. */
-    private ClientRequest tried(final Deployment.EdgeRouting w, final String path, final String key, final long id) {
+    private ClientRequest tried(
+            final Deployment.TrafficClass traffic, final String path, final String key, final long id) {
         return new ClientRequest(
-                w.runs() ? "POST" : "GET",
-                w.host(),
+                traffic.runs() ? "POST" : "GET",
+                traffic.host(),
                 path,
                 key,
                 body(key),
@@ -111,31 +112,31 @@
                 Map.of());
     }
 
-    private void send(final Deployment.EdgeRouting w, final String path, final String key, final int turn) {
-        final SimNode at = pick();
+    private void send(final Deployment.TrafficClass traffic, final String path, final String key, final int turn) {
+        final SimNode node = pick();
         final long t = cluster.world().now();
         final long id = ++serial;
-        final ClientRequest request = cluster.place().shieldRun() ? tried(w, path, key, id) : plain(path, key);
+        final ClientRequest request = cluster.place().shieldRun() ? tried(traffic, path, key, id) : plain(path, key);
         final boolean[] over = {false};
         final Consumer<ClientResponse> then = response -> {
             if (!over[0]) {
                 over[0] = true;
-                note(w, path, key, turn, at, t, id, response);
+                note(traffic, path, key, turn, node, t, id, response);
                 if (response != null && key != null && response.fate() == RequestOutcome.DONE) {
                     tellAccepted(response);
                 }
             }
         };
-        if (at == null) {
+        if (node == null) {
             then.accept(null);
             return;
         }
-        final long life = at.life();
+        final long life = node.life();
         cluster.world().in(5000, () -> then.accept(null));
         cluster.world().in(1, () -> {
-            if (at.alive() && at.life() == life) {
-                at.execute(() -> at.node().edge().handle(request, response -> {
-                    if (at.alive() && at.life() == life) {
+            if (node.alive() && node.life() == life) {
+                node.execute(() -> node.node().edge().handle(request, response -> {
+                    if (node.alive() && node.life() == life) {
                         cluster.world().in(1, () -> then.accept(response));
                     }
                 }));
@@ -146,11 +147,11 @@
     }
 
     private void note(
-            final Deployment.EdgeRouting w,
+            final Deployment.TrafficClass traffic,
             final String path,
             final String key,
             final int turn,
-            final SimNode at,
+            final SimNode node,
             final long t,
             final long id,
             final ClientResponse response) {
@@ -168,13 +169,13 @@
                         "id",
                         id,
                         "node",
-                        at == null ? null : at.id().text(),
+                        node == null ? null : node.id().text(),
                         "route",
-                        w.route(),
+                        traffic.route(),
                         "mode",
-                        w.mode(),
+                        traffic.mode(),
                         "life",
-                        w.lifetimeMs(),
+                        traffic.lifetimeMs(),
                         "path",
                         path,
                         "key",
@@ -182,7 +183,7 @@
                         "turn",
                         turn,
                         "attempt",
-                        w.host().isEmpty() ? null : "a-" + id,
+                        traffic.host().isEmpty() ? null : "a-" + id,
                         "status",
                         response == null ? 0 : response.status(),
                         "fate",
@@ -206,17 +207,18 @@
                         map.get("rev")));
         final boolean again = response == null || response.fate() != RequestOutcome.DONE;
         final double eager = cluster.place().hasty() ? 0.9 : 0.4;
-        final boolean may = !w.mode().equals("single") || response != null && response.fate() == RequestOutcome.REFUSED;
+        final boolean may =
+                !traffic.mode().equals("single") || response != null && response.fate() == RequestOutcome.REFUSED;
         if (on && again && may && turn < 4 && cluster.world().dice().nextDouble() < eager) {
             final long rest =
                     cluster.place().hasty() ? 20 : 500 + cluster.world().dice().nextInt(1000);
-            cluster.world().in(rest, () -> send(w, path, key, turn + 1));
+            cluster.world().in(rest, () -> send(traffic, path, key, turn + 1));
         } else if (on
                 && key != null
                 && !again
                 && turn == 1
-                && cluster.world().dice().nextDouble() < (w.host().isEmpty() ? 0.05 : 0.2)) {
-            cluster.world().in(200 + cluster.world().dice().nextInt(3000), () -> send(w, path, key, 9));
+                && cluster.world().dice().nextDouble() < (traffic.host().isEmpty() ? 0.05 : 0.2)) {
+            cluster.world().in(200 + cluster.world().dice().nextInt(3000), () -> send(traffic, path, key, 9));
         }
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
@@ -114,7 +114,7 @@
     public SimCluster open() {
         nodes.values().forEach(node -> time.in(time.dice().nextInt(300), node::start));
         time.in(3000, operators()::open);
-        origins.values().forEach(o -> time.in(4500 + time.dice().nextInt(500), o::start));
+        origins.values().forEach(origin -> time.in(4500 + time.dice().nextInt(500), origin::start));
         time.run(7000);
         crowd.start();
         operators().start();
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigin.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigin.java
@@ -36,10 +36,10 @@
 
     /** How origins tell the network of themselves. */
     interface Word {
-        void say(SimNode at, SimOrigin who, String stamp, boolean out, long beat, Consumer<ApiResponse> then);
+        void say(SimNode node, SimOrigin who, String stamp, boolean out, long beat, Consumer<ApiResponse> then);
 
         /** Its last word: it has ended. */
-        void end(SimNode at, String name, String stamp, Consumer<ApiResponse> then);
+        void end(SimNode node, String name, String stamp, Consumer<ApiResponse> then);
 
         /** Whether an end is told at all. */
         boolean tells();
@@ -151,7 +151,7 @@
 
     private void round(final long mine) {
         if (alive && life == mine && !leaving) {
-            announce(false, s -> {});
+            announce(false, response -> {});
             time.in(word.rest(time, beat), () -> round(mine));
         }
     }
@@ -164,7 +164,7 @@
     private void tryLeave(final long mine, final int left) {
         if (life == mine && left > 0) {
             final boolean[] ok = {false};
-            announce(true, s -> ok[0] = s.status() == 200);
+            announce(true, response -> ok[0] = response.status() == 200);
             time.in(1500, () -> {
                 if (!ok[0]) {
                     tryLeave(mine, left - 1);
@@ -177,26 +177,27 @@
 
     /** It ends, and says so if it can. */
     public void quit() {
-        final SimNode at = alive && word.tells() ? any.get() : null;
-        if (at != null) {
+        final SimNode node = alive && word.tells() ? any.get() : null;
+        if (node != null) {
             final long t = time.now();
             final String mark = stamp;
-            at.execute(() -> word.end(at, name, mark, s -> note(t, "leave", mark, at, s)));
+            node.execute(() -> word.end(node, name, mark, response -> note(t, "leave", mark, node, response)));
         }
         kill();
     }
 
     /** An earlier beat that comes late. */
     private void echo() {
-        final SimNode at = any.get();
-        if (at != null && beat > 1) {
+        final SimNode node = any.get();
+        if (node != null && beat > 1) {
             final long n = beat - 1;
             final String mark = stamp;
-            at.execute(() -> word.say(at, this, mark, false, n, s -> {}));
+            node.execute(() -> word.say(node, this, mark, false, n, response -> {}));
         }
     }
 
-    private void note(final long t, final String what, final String mark, final SimNode at, final ApiResponse s) {
+    private void note(
+            final long t, final String what, final String mark, final SimNode node, final ApiResponse response) {
         log.add(RunLog.row(
                 "log",
                 "op",
@@ -213,26 +214,26 @@
                 "stamp",
                 mark,
                 "at",
-                at.id().text(),
+                node.id().text(),
                 "status",
-                s.status()));
+                response.status()));
     }
 
     private void announce(final boolean out, final Consumer<ApiResponse> then) {
-        final SimNode at = any.get();
+        final SimNode node = any.get();
         final long t = time.now();
         final String mark = stamp;
         final long n = ++beat;
-        if (at == null) {
+        if (node == null) {
             return;
         }
         time.in(1, () -> {
-            if (at.alive()) {
-                at.execute(() -> word.say(at, this, mark, out, n, s -> {
+            if (node.alive()) {
+                node.execute(() -> word.say(node, this, mark, out, n, response -> {
                     if (out || n == 1) {
-                        note(t, out ? "leave" : "announce", mark, at, s);
+                        note(t, out ? "leave" : "announce", mark, node, response);
                     }
-                    then.accept(s);
+                    then.accept(response);
                 }));
             }
         });
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
@@ -16,7 +16,7 @@
     record Announced() implements SimOrigin.Word {
         @Override
         public void say(
-                final SimNode at,
+                final SimNode node,
                 final SimOrigin who,
                 final String stamp,
                 final boolean out,
@@ -42,11 +42,11 @@
                             "beat",
                             beat))
                     .getBytes(StandardCharsets.UTF_8);
-            at.node().configurationService().announceOrigin(who.name(), body, then);
+            node.node().configurationService().announceOrigin(who.name(), body, then);
         }
 
         @Override
-        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResponse> then) {
+        public void end(final SimNode node, final String name, final String stamp, final Consumer<ApiResponse> then) {
             then.accept(new ApiResponse(204, java.util.Map.of()));
         }
 
@@ -65,14 +65,14 @@
     record Beating() implements SimOrigin.Word {
         @Override
         public void say(
-                final SimNode at,
+                final SimNode node,
                 final SimOrigin who,
                 final String stamp,
                 final boolean out,
                 final long beat,
                 final Consumer<ApiResponse> then) {
-            final SimOrigin.Make m = who.make();
-            at.node()
+            final SimOrigin.Make make = who.make();
+            node.node()
                     .originRegistry()
                     .onHeartbeat(
                             stamp,
@@ -81,20 +81,20 @@
                                     who.host(),
                                     80,
                                     stamp,
-                                    ServiceKind.ofCode(m.kind()),
+                                    ServiceKind.ofCode(make.kind()),
                                     0,
                                     0,
                                     out,
                                     beat,
-                                    m.cell(),
-                                    m.slots(),
+                                    make.cell(),
+                                    make.slots(),
                                     0),
                             then);
         }
 
         @Override
-        public void end(final SimNode at, final String name, final String stamp, final Consumer<ApiResponse> then) {
-            at.node().originRegistry().onEnd(stamp, then);
+        public void end(final SimNode node, final String name, final String stamp, final Consumer<ApiResponse> then) {
+            node.node().originRegistry().onEnd(stamp, then);
         }
 
         @Override
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
@@ -58,10 +58,13 @@
 
     @Override
     public Exchange send(
-            final Origin to, final OutboundRequest what, final Permission gate, final Consumer<OriginResponse> then) {
-        final PendingExchange trip = new PendingExchange(to, what, gate, then);
+            final Origin origin,
+            final OutboundRequest request,
+            final Permission gate,
+            final Consumer<OriginResponse> then) {
+        final PendingExchange trip = new PendingExchange(origin, request, gate, then);
         trips.add(trip);
-        self.schedule(Math.max(20, what.timeoutMs()), trip::late);
+        self.schedule(Math.max(20, request.timeoutMs()), trip::late);
         trip.begin();
         return trip;
     }
@@ -81,26 +84,26 @@
     }
 
     private final class PendingExchange implements Exchange {
-        private final Origin to;
-        private final OutboundRequest what;
+        private final Origin origin;
+        private final OutboundRequest request;
         private final Permission gate;
         private final Consumer<OriginResponse> then;
         private boolean over;
         private boolean sent;
 
         PendingExchange(
-                final Origin to,
-                final OutboundRequest what,
+                final Origin origin,
+                final OutboundRequest request,
                 final Permission gate,
                 final Consumer<OriginResponse> then) {
             this.gate = gate;
-            this.to = to;
-            this.what = what;
+            this.origin = origin;
+            this.request = request;
             this.then = then;
         }
 
         String site() {
-            return to.host() + "|" + to.service() + "|" + to.instance();
+            return origin.host() + "|" + origin.service() + "|" + origin.instance();
         }
 
         void broken() {
@@ -114,22 +117,22 @@
         private void hop(final Runnable job) {
             final long mine = self.life();
             final String me = self.id().text();
-            yard.time.in(yard.net.delay(me, to.host()), () -> {
-                if (yard.net.open(me, to.host()) && yard.net.open(to.host(), me) && self.life() == mine) {
+            yard.time.in(yard.net.delay(me, origin.host()), () -> {
+                if (yard.net.open(me, origin.host()) && yard.net.open(origin.host(), me) && self.life() == mine) {
                     job.run();
                 }
             });
         }
 
         void begin() {
-            final SimOrigin at = yard.sites.get(to.host());
+            final SimOrigin at = yard.sites.get(origin.host());
             final String site = site();
             if (at != null && at.alive() && open.getOrDefault(site, -1L) == at.life()) {
                 go(at, at.life());
                 return;
             }
             hop(() -> {
-                final SimOrigin who = yard.sites.get(to.host());
+                final SimOrigin who = yard.sites.get(origin.host());
                 if (who == null || !who.alive()) {
                     self.execute(() -> end(OriginResponse.without(ExchangeResult.NOT_SENT, "connection refused")));
                     return;
@@ -138,8 +141,8 @@
                     if (over) {
                         return;
                     }
-                    if (!who.stock().service().equals(to.service())
-                            || !who.stamp().equals(to.instance())) {
+                    if (!who.stock().service().equals(origin.service())
+                            || !who.stamp().equals(origin.instance())) {
                         end(OriginResponse.without(
                                 ExchangeResult.WRONG_INSTANCE,
                                 "identity " + who.stock().service() + " " + who.stamp()));
@@ -168,7 +171,7 @@
         }
 
         private void arrive(final SimOrigin who, final long life) {
-            final boolean run = "POST".equals(what.method());
+            final boolean run = "POST".equals(request.method());
             final int slots = who.make().slots();
             final int here = slots == 0 ? 0 : who.enter();
             if (slots > 0 && here > 2 * slots) {
@@ -177,7 +180,7 @@
                         () -> end(OriginResponse.without(ExchangeResult.NOT_EXECUTED, "every slot is taken"))));
                 return;
             }
-            yard.senders.put(what.requestId(), self.id().text());
+            yard.senders.put(request.requestId(), self.id().text());
             yard.log.add(RunLog.row(
                     "log",
                     "org",
@@ -188,21 +191,22 @@
                     "service",
                     who.stock().service(),
                     "want",
-                    what.service(),
+                    request.service(),
                     "stamp",
                     who.stamp(),
                     "what",
                     run ? "run" : "get",
                     "request",
-                    what.requestId(),
+                    request.requestId(),
                     "path",
-                    what.path(),
+                    request.path(),
                     "key",
-                    what.key(),
+                    request.key(),
                     "from",
                     self.id().text()));
-            final String text =
-                    run ? who.stock().run(what.path(), what.key()) : who.stock().view(what.path());
+            final String text = run
+                    ? who.stock().run(request.path(), request.key())
+                    : who.stock().view(request.path());
             if (who.fault().equals("lose")) {
                 yard.time.in(who.slow(), who::exit);
                 return;
@@ -224,7 +228,7 @@
             heads.put("content-type", "application/json");
             heads.put("content-length", String.valueOf(body.length));
             heads.put(OriginResponseValidator.INSTANCE_HEADER, who.stamp());
-            heads.put(OriginResponseValidator.REQUEST_HEADER, what.requestId());
+            heads.put(OriginResponseValidator.REQUEST_HEADER, request.requestId());
             heads.put(OriginResponseValidator.DIGEST_HEADER, Hash.sha256Hex(body));
             if (who.fault().equals("wrong")) {
                 body[body.length - 2] ^= 1;
@@ -235,16 +239,16 @@
                     heads,
                     body,
                     "",
-                    run || who.make().slots() == 0 ? List.of() : List.of(StandInBackend.tag(what.path())),
+                    run || who.make().slots() == 0 ? List.of() : List.of(StandInBackend.tag(request.path())),
                     Load.NONE);
             return who.fault().equals("surplus") ? who.late(own) : own;
         }
 
-        private void end(final OriginResponse got) {
+        private void end(final OriginResponse response) {
             trips.remove(this);
             if (!over) {
                 over = true;
-                then.accept(got);
+                then.accept(response);
             }
         }
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigins.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOrigins.java
@@ -20,7 +20,7 @@
         final Deployment deployment = cluster.place();
         word = deployment.shieldRun() ? new SimOriginAnnouncements.Beating() : new SimOriginAnnouncements.Announced();
         int at = 0;
-        for (final Deployment.Kin k : deployment.kin()) {
+        for (final Deployment.Backend k : deployment.kin()) {
             final StandInBackend backend = stockOf(k);
             stocks.put(k.service(), backend);
             for (int i = 1; i <= k.origins(); i++) {
@@ -34,30 +34,31 @@
         return new SimOrigin(cluster.world(), cluster.log(), name, profile, backend, host, cluster::controlNode, word);
     }
 
-    private void add(final SimOrigin o) {
-        origins.put(o.name(), o);
-        yard.move(o.host(), o);
+    private void add(final SimOrigin origin) {
+        origins.put(origin.name(), origin);
+        yard.move(origin.host(), origin);
     }
 
     /** A service that gets a part of another's objects has the same. */
-    private StandInBackend stockOf(final Deployment.Kin kin) {
+    private StandInBackend stockOf(final Deployment.Backend backend) {
         return cluster.place().kin().stream()
-                .filter(k -> !k.equals(kin)
-                        && kin.ways().isEmpty()
-                        && k.ways().stream().anyMatch(w -> w.split().containsKey(kin.service())))
+                .filter(k -> !k.equals(backend)
+                        && backend.trafficClasses().isEmpty()
+                        && k.trafficClasses().stream()
+                                .anyMatch(traffic -> traffic.split().containsKey(backend.service())))
                 .findFirst()
-                .map(k -> stocks.get(k.service()).twin(kin.service()))
-                .orElseGet(() -> new StandInBackend(kin.service()));
+                .map(k -> stocks.get(k.service()).twin(backend.service()))
+                .orElseGet(() -> new StandInBackend(backend.service()));
     }
 
-    private SimOrigin.Make profile(final Deployment.Kin kin, final int i) {
+    private SimOrigin.Make profile(final Deployment.Backend backend, final int i) {
         final Deployment deployment = cluster.place();
         return !deployment.shieldRun()
-                ? SimOrigin.Make.plain(kin.kind())
+                ? SimOrigin.Make.plain(backend.kind())
                 : new SimOrigin.Make(
-                        kin.kind(),
-                        kin.rate() > 0 ? 32 : 4,
-                        kin.rate() > 0 ? 30 : 60,
+                        backend.kind(),
+                        backend.rate() > 0 ? 32 : 4,
+                        backend.rate() > 0 ? 30 : 60,
                         deployment.cells().get(i % deployment.cells().size()));
     }
 
@@ -76,10 +77,10 @@
     /** One more origin, of a service of its own. */
     public void start(final String name, final String service, final String kind) {
         final String host = "127.1.2." + (1 + cluster.world().serial() % 250);
-        final SimOrigin o =
+        final SimOrigin origin =
                 make(name, SimOrigin.Make.plain(kind), stocks.computeIfAbsent(service, StandInBackend::new), host);
-        add(o);
-        o.start();
+        add(origin);
+        origin.start();
     }
 
     /** A new machine takes an origin's place: it announces itself at another address, then the old one leaves. */
@@ -99,8 +100,8 @@
     public void reuse(final String name, final long ms) {
         final SimOrigin old = origins.get(name);
         final SimOrigin model = origins.values().stream()
-                .filter(o -> !o.stock().service().equals(old.stock().service())
-                        && o.make().slots() == old.make().slots())
+                .filter(origin -> !origin.stock().service().equals(old.stock().service())
+                        && origin.make().slots() == old.make().slots())
                 .findFirst()
                 .orElseThrow();
         cluster.trouble("origin-reuse", name, ms);
@@ -128,22 +129,22 @@
 
     /** The origin dies without a word and its address answers as another service. */
     public void swap(final String name, final long ms) {
-        final SimOrigin o = origins.get(name);
-        o.kill();
+        final SimOrigin origin = origins.get(name);
+        origin.kill();
         final SimOrigin other = new SimOrigin(
                 cluster.world(),
                 cluster.log(),
                 "stranger",
                 SimOrigin.Make.plain("content"),
                 new StandInBackend("stranger"),
-                o.host(),
+                origin.host(),
                 () -> null,
                 new SimOriginAnnouncements.Announced());
         other.start();
-        yard.move(o.host(), other);
+        yard.move(origin.host(), other);
         cluster.world().in(ms, () -> {
             other.kill();
-            takeBack(o);
+            takeBack(origin);
         });
     }
 }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimTransport.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimTransport.java
@@ -30,7 +30,7 @@
     private long sent;
     private long bytes;
     private BiFunction<NodeId, byte[], byte[]> word = (from, data) -> data;
-    private java.util.function.BiConsumer<NodeId, Message> tap = (to, msg) -> {};
+    private java.util.function.BiConsumer<NodeId, Message> tap = (recipient, msg) -> {};
 
     public SimTransport(final VirtualTime time, final BiFunction<String, String, Long> base) {
         this.time = time;
@@ -133,14 +133,18 @@
     }
 
     Transport of(final SimNode self) {
-        return (to, msg, wait, then) -> ask(self, to, msg, wait, then);
+        return (recipient, msg, wait, then) -> ask(self, recipient, msg, wait, then);
     }
 
     private void ask(
-            final SimNode self, final NodeId to, final Message msg, final long wait, final Consumer<Reply> then) {
-        final Question question = new Question(self, to, then);
+            final SimNode self,
+            final NodeId recipient,
+            final Message msg,
+            final long wait,
+            final Consumer<Reply> then) {
+        final Question question = new Question(self, recipient, then);
         self.schedule(wait, () -> question.answered(Reply.failed(Reply.Failure.NO_RESPONSE)));
-        if (to.equals(self.id())) {
+        if (recipient.equals(self.id())) {
             self.execute(() -> self.node().handle(self.id(), msg, m -> question.hear(Reply.of(m))));
             return;
         }
@@ -149,11 +153,11 @@
                 MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, ++sent, 0, self.id(), msg)));
         weigh(msg, data.length);
         question.begin();
-        carry(self.id().text(), to.text(), () -> arrive(question, msg, data));
+        carry(self.id().text(), recipient.text(), () -> arrive(question, msg, data));
     }
 
     private void arrive(final Question question, final Message msg, final byte[] data) {
-        final SimNode peer = nodes.get(question.to);
+        final SimNode peer = nodes.get(question.recipient);
         if (question.reset) {
             return;
         }
@@ -162,12 +166,13 @@
             return;
         }
         final long life = peer.life();
-        tap.accept(question.to, msg);
+        tap.accept(question.recipient, msg);
         question.arrived();
         peer.execute(() -> peer.node().handle(question.self.id(), open(data).message(), m -> {
             final byte[] back = word.apply(
-                    question.to,
-                    MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 0, 1, question.to, m)));
+                    question.recipient,
+                    MessageCodec.encode(
+                            new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 0, 1, question.recipient, m)));
             weigh(m, back.length);
             if (peer.life() == life && peer.alive()) {
                 question.carryBack(Reply.of(open(back).message()));
@@ -178,7 +183,7 @@
     /** One question from a process to another: what is said of it is heard only once, and only by the life that asked. */
     private final class Question {
         private final SimNode self;
-        private final NodeId to;
+        private final NodeId recipient;
         private final Consumer<Reply> then;
         private final long life;
         private final String link;
@@ -187,12 +192,12 @@
         private boolean over;
         private boolean reset;
 
-        Question(final SimNode self, final NodeId to, final Consumer<Reply> then) {
+        Question(final SimNode self, final NodeId recipient, final Consumer<Reply> then) {
             this.self = self;
-            this.to = to;
+            this.recipient = recipient;
             this.then = then;
             this.life = self.life();
-            this.link = self.id().text() + ">" + to.text();
+            this.link = self.id().text() + ">" + recipient.text();
         }
 
         void begin() {
@@ -200,7 +205,7 @@
         }
 
         void arrived() {
-            begun.computeIfAbsent(to, k -> new LinkedHashSet<>()).add(peerEnded);
+            begun.computeIfAbsent(recipient, k -> new LinkedHashSet<>()).add(peerEnded);
         }
 
         private void reset() {
@@ -209,7 +214,7 @@
         }
 
         void carryBack(final Reply reply) {
-            carry(to.text(), self.id().text(), () -> hear(reply));
+            carry(recipient.text(), self.id().text(), () -> hear(reply));
         }
 
         void hear(final Reply reply) {
@@ -221,7 +226,7 @@
         void answered(final Reply reply) {
             if (!over) {
                 over = true;
-                begun.computeIfPresent(to, (k, all) -> all.remove(peerEnded) && all.isEmpty() ? null : all);
+                begun.computeIfPresent(recipient, (k, all) -> all.remove(peerEnded) && all.isEmpty() ? null : all);
                 underWay.computeIfPresent(link, (k, all) -> all.remove(circuitReset) && all.isEmpty() ? null : all);
                 then.accept(reply);
             }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateClient.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateClient.java
@@ -52,7 +52,7 @@
 
     /** How sending an order ended: the machine whose clear answer came, and its status; nobody and 0 where none came. */
     interface Ending {
-        void ended(SimNode at, int status);
+        void ended(SimNode node, int status);
     }
 
     /** One order on its way: until an answer is clear, or the tries are used up. */
@@ -92,11 +92,11 @@
                 ending.ended(null, 0);
                 return;
             }
-            final SimNode at = notAsked();
-            if (at == null) {
+            final SimNode node = notAsked();
+            if (node == null) {
                 world().in(NOBODY_UP_MS, this::next);
             } else {
-                tryAt(at, () -> world().in(PAUSE_MS * Math.min(tries, LONGEST_PAUSE), this::next));
+                tryAt(node, () -> world().in(PAUSE_MS * Math.min(tries, LONGEST_PAUSE), this::next));
             }
         }
 
@@ -121,8 +121,8 @@
         }
 
         /** {@code again} runs once, where no clear answer came in a second. */
-        void tryAt(final SimNode at, final Runnable again) {
-            last = at.id().text();
+        void tryAt(final SimNode node, final Runnable again) {
+            last = node.id().text();
             asked.add(last);
             final boolean[] over = {false};
             final Runnable once = () -> {
@@ -131,16 +131,16 @@
                     again.run();
                 }
             };
-            final long life = at.life();
+            final long life = node.life();
             final long t = world().now();
-            sent.accept(at);
+            sent.accept(node);
             world().in(1, () -> {
-                if (at.alive() && at.life() == life) {
-                    at.execute(() -> at.node().updateService().apply(order.text(), s -> {
+                if (node.alive() && node.life() == life) {
+                    node.execute(() -> node.node().updateService().apply(order.text(), response -> {
                         final boolean lost = world().dice().nextDouble() < lostShare;
-                        note("order", t, at, order.id(), s, lost);
+                        note("order", t, node, order.id(), response, lost);
                         if (!lost) {
-                            answer(at, s, once);
+                            answer(node, response, once);
                         }
                     }));
                 }
@@ -148,31 +148,31 @@
             world().in(SILENCE_MS, once);
         }
 
-        private void answer(final SimNode at, final ApiResponse s, final Runnable again) {
+        private void answer(final SimNode node, final ApiResponse response, final Runnable again) {
             if (clear) {
                 return;
             }
-            if (s.status() / 100 == 5) {
+            if (response.status() / 100 == 5) {
                 again.run();
                 return;
             }
             clear = true;
             final long end = world().now();
-            order.items().forEach(item -> cluster.log().add(item.row("put", from, end, s.status())));
+            order.items().forEach(item -> cluster.log().add(item.row("put", from, end, response.status())));
             answered.add(order);
-            if (s.status() == 200) {
-                lastAcknowledger = at.id().text();
+            if (response.status() == 200) {
+                lastAcknowledger = node.id().text();
             }
-            ending.ended(at, s.status());
+            ending.ended(node, response.status());
         }
 
         /** Again and again at one machine, until it answers clearly; at any other where it does not for long. */
-        void insist(final SimNode at) {
+        void insist(final SimNode node) {
             if (clear) {
                 return;
             }
-            if (tries++ < HARD_TRIES && at.alive()) {
-                tryAt(at, () -> world().in(HARD_PAUSE_MS, () -> insist(at)));
+            if (tries++ < HARD_TRIES && node.alive()) {
+                tryAt(node, () -> world().in(HARD_PAUSE_MS, () -> insist(node)));
             } else {
                 next();
             }
@@ -182,9 +182,9 @@
     private void note(
             final String kind,
             final long t,
-            final SimNode at,
+            final SimNode node,
             final Long order,
-            final ApiResponse s,
+            final ApiResponse response,
             final boolean lost) {
         cluster.log()
                 .add(RunLog.row(
@@ -197,11 +197,11 @@
                         "end",
                         world().now(),
                         "node",
-                        at.id().text(),
+                        node.id().text(),
                         "order",
                         order,
                         "status",
-                        s.status(),
+                        response.status(),
                         "lost",
                         lost));
     }
@@ -222,14 +222,17 @@
     }
 
     /** Something that must not be taken, once. */
-    void tryInvalid(final OperatorUpdate order, final SimNode at) {
+    void tryInvalid(final OperatorUpdate order, final SimNode node) {
         final long t = world().now();
-        at.execute(() -> at.node().updateService().apply(order.text(), s -> note("invalid", t, at, null, s, false)));
+        node.execute(() -> node.node()
+                .updateService()
+                .apply(order.text(), response -> note("invalid", t, node, null, response, false)));
     }
 
-    void tryPurge(final Purge what, final SimNode at) {
+    void tryPurge(final Purge what, final SimNode node) {
         final long t = world().now();
-        at.execute(() -> at.node().updateService().purge(what, s -> note("purge", t, at, null, s, false)));
+        node.execute(() ->
+                node.node().updateService().purge(what, response -> note("purge", t, node, null, response, false)));
     }
 
     void purge(final Purge what, final Map<String, Object> facts) {
@@ -237,7 +240,7 @@
     }
 
     private void purge(final Purge what, final Map<String, Object> facts, final long from, final int left) {
-        final SimNode at = cluster.controlNode();
+        final SimNode node = cluster.controlNode();
         final boolean[] over = {false};
         final Runnable again = () -> {
             if (!over[0]) {
@@ -248,18 +251,18 @@
             }
         };
         world().in(SILENCE_MS, again);
-        if (at == null) {
+        if (node == null) {
             return;
         }
         final long t = world().now();
-        at.execute(() -> at.node().updateService().purge(what, s -> {
-            note("purge", t, at, null, s, false);
-            if (over[0] || s.status() != 200) {
+        node.execute(() -> node.node().updateService().purge(what, response -> {
+            note("purge", t, node, null, response, false);
+            if (over[0] || response.status() != 200) {
                 again.run();
                 return;
             }
             over[0] = true;
-            final String item = String.valueOf(s.body().get("item")).replace("purge/", "PURGE/");
+            final String item = String.valueOf(response.body().get("item")).replace("purge/", "PURGE/");
             final Map<String, Object> row = RunLog.row(
                     "log",
                     "op",
@@ -274,7 +277,7 @@
                     "status",
                     200,
                     "version",
-                    s.body().get("version"));
+                    response.body().get("version"));
             row.putAll(facts);
             cluster.log().add(row);
         }));
@@ -282,19 +285,19 @@
 
     /** Something that must not be taken, to any node; where nobody is up, later. */
     void sendInvalid(final Supplier<OperatorUpdate> draft, final IntConsumer then) {
-        final SimNode at = cluster.controlNode();
-        if (at == null) {
+        final SimNode node = cluster.controlNode();
+        if (node == null) {
             world().in(NOBODY_UP_MS, () -> sendInvalid(draft, then));
             return;
         }
         final OperatorUpdate order = draft.get();
         final long t = world().now();
-        at.execute(() -> at.node().updateService().apply(order.text(), s -> {
-            note("invalid", t, at, null, s, false);
+        node.execute(() -> node.node().updateService().apply(order.text(), response -> {
+            note("invalid", t, node, null, response, false);
             cluster.log()
                     .add(RunLog.row(
-                            "log", "op", "t", t, "end", world().now(), "what", "invalid", "status", s.status()));
-            then.accept(s.status());
+                            "log", "op", "t", t, "end", world().now(), "what", "invalid", "status", response.status()));
+            then.accept(response.status());
         }));
     }
 }
