--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateGenerator.java
@@ -43,66 +43,69 @@
         return ++notes;
     }
 
-    Deployment.EdgeRouting anyRoute() {
+    Deployment.TrafficClass anyRoute() {
         return deployment.ways().get(random.nextInt(deployment.ways().size()));
     }
 
-    Deployment.Kin anyService() {
+    Deployment.Backend anyService() {
         return deployment.kin().get(random.nextInt(deployment.kin().size()));
     }
 
     /** All that the place needs. */
     OperatorUpdate first() {
         final List<UpdateItem> all = new ArrayList<>();
-        deployment.kin().forEach(k -> all.add(service(k)));
-        deployment.ways().forEach(w -> all.add(route(w)));
+        deployment.kin().forEach(backend -> all.add(service(backend)));
+        deployment.ways().forEach(traffic -> all.add(route(traffic)));
         all.add(limits());
         return order(all.toArray(UpdateItem[]::new));
     }
 
-    UpdateItem service(final Deployment.Kin k) {
+    UpdateItem service(final Deployment.Backend backend) {
         return new UpdateItem(
                 ItemKind.SERVICE,
-                k.service(),
-                nextVersion(ItemKind.SERVICE, k.service()),
+                backend.service(),
+                nextVersion(ItemKind.SERVICE, backend.service()),
                 RunLog.row(
                         "kind",
-                        k.kind(),
+                        backend.kind(),
                         "ceiling",
-                        k.rate() > 0 ? k.rate() : null,
+                        backend.rate() > 0 ? backend.rate() : null,
                         "circuits",
                         130,
                         "note",
                         nextNote(),
                         "cutoffMs",
                         1500 + random.nextInt(1000)),
-                RunLog.row("service", k.service(), "ceiling", k.rate()));
+                RunLog.row("service", backend.service(), "ceiling", backend.rate()));
     }
 
-    UpdateItem route(final Deployment.EdgeRouting w) {
-        return route(w, nextVersion(ItemKind.ROUTE, w.route()));
+    UpdateItem route(final Deployment.TrafficClass traffic) {
+        return route(traffic, nextVersion(ItemKind.ROUTE, traffic.route()));
     }
 
-    UpdateItem route(final Deployment.EdgeRouting w, final long version) {
+    UpdateItem route(final Deployment.TrafficClass traffic, final long version) {
         final List<Map<String, Object>> split = new ArrayList<>();
-        w.split()
+        traffic.split()
                 .forEach((s, n) -> split.add(RunLog.row(
-                        "service", s, "weight", w.split().size() == 1 ? n : Math.max(1, n - 5 + random.nextInt(11)))));
+                        "service",
+                        s,
+                        "weight",
+                        traffic.split().size() == 1 ? n : Math.max(1, n - 5 + random.nextInt(11)))));
         return new UpdateItem(
                 ItemKind.ROUTE,
-                w.route(),
+                traffic.route(),
                 version,
                 RunLog.row(
                         "host",
-                        w.host(),
+                        traffic.host(),
                         "prefix",
-                        w.prefix(),
+                        traffic.prefix(),
                         "split",
                         split,
                         "mode",
-                        w.mode(),
+                        traffic.mode(),
                         "lifetimeMs",
-                        w.lifetimeMs(),
+                        traffic.lifetimeMs(),
                         "timeoutMs",
                         1500 + random.nextInt(2000),
                         "aimMs",
@@ -117,9 +120,9 @@
                         nextNote()),
                 RunLog.row(
                         "prefix",
-                        w.prefix(),
+                        traffic.prefix(),
                         "services",
-                        new ArrayList<>(w.split().keySet()),
+                        new ArrayList<>(traffic.split().keySet()),
                         "attempts",
                         ATTEMPTS));
     }
@@ -145,7 +148,7 @@
 
     /** One good item and one whose service nobody stated. */
     OperatorUpdate invalid() {
-        final Deployment.Kin first = deployment.kin().get(0);
+        final Deployment.Backend first = deployment.kin().get(0);
         final UpdateItem good = new UpdateItem(
                 ItemKind.SERVICE,
                 first.service(),
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
@@ -41,7 +41,7 @@
     }
 
     private void send(final OperatorUpdate order) {
-        client.send(order, sent -> {}, (at, status) -> {});
+        client.send(order, sent -> {}, (node, status) -> {});
     }
 
     @Override
@@ -69,44 +69,44 @@
                 draft.order(
                         random().nextInt(3) == 0 ? draft.service(draft.anyService()) : draft.route(draft.anyRoute())),
                 sent -> {},
-                (at, status) -> then.accept(status));
+                (node, status) -> then.accept(status));
     }
 
     /** Two operators, one version, two bodies, two nodes. */
     public void race() {
-        final Deployment.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
+        final Deployment.TrafficClass traffic = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, traffic.route());
         for (int i = 0; i < 2; i++) {
-            send(draft.order(draft.route(w, version)));
+            send(draft.order(draft.route(traffic, version)));
         }
     }
 
     /** Two calls that share one item under one version, and have one each of their own, in opposite order. */
     private void overlappingRace() {
-        final Deployment.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
+        final Deployment.TrafficClass traffic = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, traffic.route());
         final UpdateItem left = extraRoute("left");
         final UpdateItem right = extraRoute("right");
-        send(draft.order(left, draft.route(w, version)));
-        send(draft.order(draft.route(w, version), right));
+        send(draft.order(left, draft.route(traffic, version)));
+        send(draft.order(draft.route(traffic, version), right));
     }
 
     /** The same calls as everybody's, at one machine first; what it answers while cut off is for the judge. */
-    void callAt(final SimNode at, final Set<String> how) {
-        final Deployment.EdgeRouting w = draft.anyRoute();
-        final long version = draft.nextVersion(ItemKind.ROUTE, w.route());
-        final OperatorUpdate order = draft.order(draft.route(w, version));
+    void callAt(final SimNode node, final Set<String> how) {
+        final Deployment.TrafficClass traffic = draft.anyRoute();
+        final long version = draft.nextVersion(ItemKind.ROUTE, traffic.route());
+        final OperatorUpdate order = draft.order(draft.route(traffic, version));
         if (how.contains("hard")) {
-            client.sendUntilAnswered(order, at);
+            client.sendUntilAnswered(order, node);
         } else {
-            client.sendFirstTo(order, at);
+            client.sendFirstTo(order, node);
         }
         if (how.contains("race")) {
-            send(draft.order(draft.route(w, version)));
+            send(draft.order(draft.route(traffic, version)));
         }
-        client.tryInvalid(draft.invalid(), at);
-        client.tryPurge(new Purge(null, w.prefix() + "0", null, w.host(), null), at);
-        reader.read(at, false);
+        client.tryInvalid(draft.invalid(), node);
+        client.tryPurge(new Purge(null, traffic.prefix() + "0", null, traffic.host(), null), node);
+        reader.read(node, false);
     }
 
     /** A share of the answers to the operator is lost from now on. */
@@ -148,15 +148,15 @@
     }
 
     private void readSome() {
-        final SimNode at = cluster.controlNode();
-        if (at != null) {
-            reader.read(at, false);
+        final SimNode node = cluster.controlNode();
+        if (node != null) {
+            reader.read(node, false);
         }
     }
 
     private UpdateItem extraRoute(final String name) {
-        final Deployment.EdgeRouting model = draft.anyRoute();
-        return draft.route(new Deployment.EdgeRouting(
+        final Deployment.TrafficClass model = draft.anyRoute();
+        return draft.route(new Deployment.TrafficClass(
                 name, "/" + name + "/", model.mode(), model.lifetimeMs(), true, 0, 1, model.host(), model.split()));
     }
 
@@ -173,9 +173,9 @@
             return;
         }
         shown = !shown;
-        final Deployment.EdgeRouting w = cluster.place().ways().get(0);
-        final UpdateItem set = draft.route(
-                new Deployment.EdgeRouting(BLINK, "/blink/", "cached", 500, true, 0, 1, w.host(), w.split()));
+        final Deployment.TrafficClass traffic = cluster.place().ways().get(0);
+        final UpdateItem set = draft.route(new Deployment.TrafficClass(
+                BLINK, "/blink/", "cached", 500, true, 0, 1, traffic.host(), traffic.split()));
         final Map<String, Object> facts = new TreeMap<>(set.facts());
         facts.put("shown", shown);
         send(draft.order(new UpdateItem(ItemKind.ROUTE, BLINK, set.version(), shown ? set.body() : null, facts)));
@@ -221,9 +221,9 @@
         });
     }
 
-    private List<Deployment.EdgeRouting> cachedRoutes() {
+    private List<Deployment.TrafficClass> cachedRoutes() {
         return cluster.place().ways().stream()
-                .filter(w -> w.mode().equals("cached"))
+                .filter(traffic -> traffic.mode().equals("cached"))
                 .toList();
     }
 
@@ -232,12 +232,12 @@
         if (!on) {
             return;
         }
-        final List<Deployment.EdgeRouting> ways = cachedRoutes();
-        final Deployment.EdgeRouting w = ways.get(random().nextInt(ways.size()));
+        final List<Deployment.TrafficClass> ways = cachedRoutes();
+        final Deployment.TrafficClass traffic = ways.get(random().nextInt(ways.size()));
         final double roll = random().nextDouble();
-        final String path = w.prefix() + (int) (w.objects() * roll * roll * roll);
+        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll * roll);
         final String service = cluster.place().kin().stream()
-                .filter(k -> k.ways().contains(w))
+                .filter(backend -> backend.trafficClasses().contains(traffic))
                 .findFirst()
                 .orElseThrow()
                 .service();
@@ -247,22 +247,22 @@
                         "log", "change", "t", now(), "path", path, "rev", rev, "tag", StandInBackend.tag(path)));
         if (random().nextInt(3) == 0) {
             final boolean wide = random().nextInt(4) == 0;
-            cluster.world().in(50, () -> purge(w, path, wide));
+            cluster.world().in(50, () -> purge(traffic, path, wide));
         }
         cluster.world().in(100 + random().nextInt(200), this::change);
     }
 
     @Override
     public void purge() {
-        final List<Deployment.EdgeRouting> ways = cachedRoutes();
-        final Deployment.EdgeRouting w = ways.get(random().nextInt(ways.size()));
-        purge(w, w.prefix() + random().nextInt(w.objects()), random().nextInt(4) == 0);
+        final List<Deployment.TrafficClass> ways = cachedRoutes();
+        final Deployment.TrafficClass traffic = ways.get(random().nextInt(ways.size()));
+        purge(traffic, traffic.prefix() + random().nextInt(traffic.objects()), random().nextInt(4) == 0);
     }
 
-    private void purge(final Deployment.EdgeRouting w, final String path, final boolean wide) {
+    private void purge(final Deployment.TrafficClass traffic, final String path, final boolean wide) {
         final Purge what = wide
                 ? new Purge(null, null, null, null, StandInBackend.tag(path))
-                : new Purge(null, path, null, w.host(), null);
+                : new Purge(null, path, null, traffic.host(), null);
         client.purge(what, RunLog.row("path", wide ? null : path, "tag", wide ? what.tag() : null));
     }
 
--- a/testkit/src/test/java/org/rowanvalve/testkit/AcceptorRebuildTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/AcceptorRebuildTest.java
@@ -46,8 +46,8 @@
         for (int i = 0; i < 70; i++) {
             final int n = i;
             if (said.stream()
-                    .anyMatch(s -> s.status() == 200
-                            && ("route/extra" + n).equals(s.body().get("item")))) {
+                    .anyMatch(response -> response.status() == 200
+                            && ("route/extra" + n).equals(response.body().get("item")))) {
                 done.add(n);
             }
         }
--- a/testkit/src/test/java/org/rowanvalve/testkit/FaultTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/FaultTest.java
@@ -62,8 +62,8 @@
                 .execute(() -> cluster.node("ed1")
                         .node()
                         .configurationService()
-                        .putItem(ROUTE, body(1000 + seed).getBytes(), 0, "w", s -> {
-                            said.add(s);
+                        .putItem(ROUTE, body(1000 + seed).getBytes(), 0, "w", response -> {
+                            said.add(response);
                             if (seed <= 3) {
                                 cluster.kill(victim, 1500);
                             } else {
@@ -154,14 +154,15 @@
                                 .node()
                                 .configurationService()
                                 .putItem(
-                                        ROUTE, body(1000 + tag.hashCode() % 500).getBytes(), expect, tag, s -> {
-                                            if (s.body().get("version") instanceof Number v) {
+                                        ROUTE, body(1000 + tag.hashCode() % 500).getBytes(), expect, tag, response -> {
+                                            if (response.body().get("version") instanceof Number v) {
                                                 standing[0] = Math.max(standing[0], v.longValue());
                                             }
-                                            ends[s.status() == 200 ? 0 : s.status() == 409 ? 1 : 2]++;
-                                            if (s.status() == 200
-                                                    && !won.add(
-                                                            ((Number) s.body().get("version")).longValue())) {
+                                            ends[response.status() == 200 ? 0 : response.status() == 409 ? 1 : 2]++;
+                                            if (response.status() == 200
+                                                    && !won.add(((Number) response.body()
+                                                                    .get("version"))
+                                                            .longValue())) {
                                                 twice.add(tag);
                                             }
                                         }));
--- a/testkit/src/test/java/org/rowanvalve/testkit/HttpOriginTransportTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/HttpOriginTransportTest.java
@@ -47,10 +47,11 @@
         loop.stop();
     }
 
-    private OriginTransport.OriginResponse send(final Origin to, final String id, final long span) throws Exception {
+    private OriginTransport.OriginResponse send(final Origin origin, final String id, final long span)
+            throws Exception {
         final CompletableFuture<OriginTransport.OriginResponse> f = new CompletableFuture<>();
         loop.execute(() -> port.send(
-                to,
+                origin,
                 new OriginTransport.OutboundRequest("s", "GET", "/s/1", id, null, null, null, span),
                 gate,
                 f::complete));
@@ -71,15 +72,15 @@
 
     @Test
     void aWholeAnswerProvesItself() throws Exception {
-        final OriginTransport.OriginResponse got = send(here(), "r1", 20_000);
-        assertEquals(OriginTransport.ExchangeResult.COMPLETE, got.result());
+        final OriginTransport.OriginResponse response = send(here(), "r1", 20_000);
+        assertEquals(OriginTransport.ExchangeResult.COMPLETE, response.result());
         assertEquals(
                 "",
                 OriginResponseValidator.error(
                         here(),
                         new OriginTransport.OutboundRequest("s", "GET", "/s/1", "r1", null, null, null, 1),
-                        got.headers(),
-                        got.body()));
+                        response.headers(),
+                        response.body()));
         assertEquals(
                 OriginTransport.ExchangeResult.COMPLETE,
                 send(here(), "r2", 20_000).result());
@@ -106,8 +107,8 @@
         final int old = origin.port();
         origin.stop();
         origin.start(old, "foreign");
-        final OriginTransport.OriginResponse got = send(to, "r2", 20_000);
-        assertTrue(got.result() != OriginTransport.ExchangeResult.COMPLETE, got.toString());
+        final OriginTransport.OriginResponse response = send(to, "r2", 20_000);
+        assertTrue(response.result() != OriginTransport.ExchangeResult.COMPLETE, response.toString());
         assertEquals(
                 OriginTransport.ExchangeResult.WRONG_INSTANCE,
                 send(to, "r3", 20_000).result());
@@ -135,9 +136,9 @@
     @Test
     void wrongBytesDoNotProveThemselves() throws Exception {
         origin.face().fault("wrong", 1);
-        final OriginTransport.OriginResponse got = send(here(), "r1", 20_000);
-        assertEquals(OriginTransport.ExchangeResult.INVALID, got.result());
-        assertEquals("digest differs", got.reason());
+        final OriginTransport.OriginResponse response = send(here(), "r1", 20_000);
+        assertEquals(OriginTransport.ExchangeResult.INVALID, response.result());
+        assertEquals("digest differs", response.reason());
     }
 
     @Test
--- a/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
@@ -56,7 +56,7 @@
     @BeforeEach
     void begin() {
         final ItemStore items = new ItemStore(loop, journal);
-        final Transport transport = (to, msg, wait, then) -> {
+        final Transport transport = (recipient, msg, wait, then) -> {
             if (msg instanceof LeaseRenewRequest) {
                 final boolean[] over = {false};
                 final Consumer<Reply> once = reply -> {
@@ -197,9 +197,9 @@
         final org.rowanvalve.data.origin.OriginDispatcher dispatcher = new org.rowanvalve.data.origin.OriginDispatcher(
                 settings,
                 loop,
-                (to, msg, wait, then) -> {},
-                (to, what, gate, then) -> {
-                    sent.add(what.path());
+                (recipient, msg, wait, then) -> {},
+                (origin, request, gate, then) -> {
+                    sent.add(request.path());
                     return () -> {};
                 },
                 configuration,
@@ -232,13 +232,13 @@
 
     private org.rowanvalve.data.keyed.KeyedRequests once(final int writers, final List<KeyedRecord> known) {
         final List<NodeId> keepers = List.of(BOSS, NodeId.of("st2"), NodeId.of("sh1"));
-        final Transport transport = (to, msg, wait, then) -> time.in(1, () -> {
+        final Transport transport = (recipient, msg, wait, then) -> time.in(1, () -> {
             if (msg instanceof RecordReadRequest r) {
                 then.accept(Reply.of(new RecordReadResponse(true, false, r.token(), known, 7, null)));
             } else if (msg instanceof RecordWriteRequest w) {
                 final boolean now = w.era() == 7;
                 then.accept(
-                        keepers.indexOf(to) < writers
+                        keepers.indexOf(recipient) < writers
                                 ? Reply.of(new RecordWriteResponse(now, false, !now))
                                 : Reply.failed(Reply.Failure.NO_RESPONSE));
             }
--- a/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -79,7 +79,7 @@
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> asks.add(then),
+                (recipient, msg, wait, then) -> asks.add(then),
                 configuration,
                 () -> true,
                 1,
@@ -103,7 +103,7 @@
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> asks.add(then),
+                (recipient, msg, wait, then) -> asks.add(then),
                 configuration,
                 () -> true,
                 1,
@@ -132,7 +132,7 @@
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> asks.add(then),
+                (recipient, msg, wait, then) -> asks.add(then),
                 configuration,
                 () -> true,
                 1,
@@ -169,7 +169,7 @@
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> asks.add(then),
+                (recipient, msg, wait, then) -> asks.add(then),
                 configuration,
                 () -> true,
                 1,
@@ -221,7 +221,14 @@
                         "int(query) < 3 && path.startsWith('/s/a')")));
         final int[] asks = {0};
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks[0]++, configuration, () -> true, 1, journal, 1 << 20, node -> true);
+                loop,
+                (recipient, msg, wait, then) -> asks[0]++,
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
         final List<Integer> got = new ArrayList<>();
         for (final String path : List.of("/s/a?2", "/s/b?2", "/s/a?5", "/s/a?many")) {
             edge.handle(new ClientRequest("GET", path, null, null, ""), response -> got.add(response.status()));
@@ -250,7 +257,14 @@
                                 "t")));
         final int[] asks = {0};
         final Edge edge = new Edge(
-                loop, (to, msg, wait, then) -> asks[0]++, configuration, () -> true, 1, journal, 1 << 20, node -> true);
+                loop,
+                (recipient, msg, wait, then) -> asks[0]++,
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                node -> true);
         final List<ClientResponse> got = new ArrayList<>();
         edge.handle(new ClientRequest("GET", "/s/late/1", null, null, ""), got::add);
         assertEquals("503 refused", got.get(0).status() + " " + got.get(0).fate());
@@ -266,7 +280,7 @@
 
     @Test
     void anAnswerMustProveStampRequestAndLength() {
-        final org.rowanvalve.control.config.Origin to =
+        final org.rowanvalve.control.config.Origin origin =
                 new org.rowanvalve.control.config.Origin("s", "h", 1, "b", ServiceKind.CONTENT, 0, 1, false, 1);
         final org.rowanvalve.data.origin.OriginTransport.OutboundRequest sent =
                 new org.rowanvalve.data.origin.OriginTransport.OutboundRequest(
@@ -281,17 +295,17 @@
                 "3",
                 org.rowanvalve.data.origin.OriginResponseValidator.DIGEST_HEADER,
                 org.rowanvalve.common.model.Hash.sha256Hex(body)));
-        assertEquals("", org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, good, body));
+        assertEquals("", org.rowanvalve.data.origin.OriginResponseValidator.error(origin, sent, good, body));
         good.forEach((k, v) -> {
             final Map<String, String> bad = new TreeMap<>(good);
             bad.put(k, v + "0");
             assertFalse(
-                    org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, bad, body)
+                    org.rowanvalve.data.origin.OriginResponseValidator.error(origin, sent, bad, body)
                             .isEmpty(),
                     k);
             bad.remove(k);
             assertFalse(
-                    org.rowanvalve.data.origin.OriginResponseValidator.error(to, sent, bad, body)
+                    org.rowanvalve.data.origin.OriginResponseValidator.error(origin, sent, bad, body)
                             .isEmpty(),
                     k);
         });
@@ -313,7 +327,7 @@
         final List<Consumer<Reply>> asks = new ArrayList<>();
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> asks.add(then),
+                (recipient, msg, wait, then) -> asks.add(then),
                 configuration,
                 () -> true,
                 1,
@@ -363,7 +377,7 @@
         final boolean[] fresh = {true};
         final Edge edge = new Edge(
                 loop,
-                (to, msg, wait, then) -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)),
+                (recipient, msg, wait, then) -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)),
                 configuration,
                 () -> fresh[0],
                 1,
@@ -426,8 +440,8 @@
     void aReturningHolderHearsRevokesThenAcksThenItsPlacement() {
         final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 8).open();
         final List<String> heard = new ArrayList<>();
-        cluster.net().tap((to, msg) -> {
-            if (to.text().equals("sh3")
+        cluster.net().tap((recipient, msg) -> {
+            if (recipient.text().equals("sh3")
                     && (msg instanceof LeaseRevokeRequest
                             || msg instanceof FenceAckRequest
                             || msg instanceof LeaseGrantRequest)) {
--- a/testkit/src/test/java/org/rowanvalve/testkit/RecordKeeperTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RecordKeeperTest.java
@@ -55,7 +55,7 @@
     }
 
     private KeyedRecordStore keeper(final StableStorage storage, final boolean lost) throws Exception {
-        return keeper("st1", storage, lost, (to, msg, wait, then) -> {});
+        return keeper("st1", storage, lost, (recipient, msg, wait, then) -> {});
     }
 
     private KeyedRecordStore keeper(
@@ -90,7 +90,7 @@
         final Map<NodeId, KeyedRecordStore> others = new TreeMap<>();
         final Map<NodeId, Integer> ends = new TreeMap<>();
         for (final String n : List.of("st2", "sh1")) {
-            final KeyedRecordStore k = keeper(n, new Rows(), false, (to, msg, wait, then) -> {});
+            final KeyedRecordStore k = keeper(n, new Rows(), false, (recipient, msg, wait, then) -> {});
             final List<Message> got = new ArrayList<>();
             k.onRead(ask(3, new FencingToken(1, 1)), got::add);
             final long era = ((RecordReadResponse) got.get(0)).era();
@@ -116,11 +116,11 @@
                 "st1",
                 new Rows(),
                 true,
-                (to, msg, wait, then) -> time.in(35, () -> {
-                    ends.merge(to, msg instanceof RecordChecksumsRequest a && a.endEra() ? 1 : 0, Integer::sum);
-                    answer(others.get(to), msg, m -> {
+                (recipient, msg, wait, then) -> time.in(35, () -> {
+                    ends.merge(recipient, msg instanceof RecordChecksumsRequest a && a.endEra() ? 1 : 0, Integer::sum);
+                    answer(others.get(recipient), msg, m -> {
                         final int size = org.rowanvalve.common.message.MessageCodec.encode(
-                                        new org.rowanvalve.common.message.MessageCodec.Frame(1, 1, 0, to, m))
+                                        new org.rowanvalve.common.message.MessageCodec.Frame(1, 1, 0, recipient, m))
                                 .length;
                         largest[0] = Math.max(largest[0], size);
                         final long took = 70 + size / 900;
--- a/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
@@ -42,8 +42,8 @@
 
     static Map<String, Removal> all(final List<ValidationError> faults) throws IOException {
         final Map<String, Removal> map = new LinkedHashMap<>();
-        final Object o = JsonReader.read(Files.readAllBytes(LIST), faults);
-        if (!(o instanceof Map<?, ?> m) || !(m.get("removals") instanceof List<?> list)) {
+        final Object value = JsonReader.read(Files.readAllBytes(LIST), faults);
+        if (!(value instanceof Map<?, ?> m) || !(m.get("removals") instanceof List<?> list)) {
             faults.add(new ValidationError(LIST.toString(), "a list of removals is wanted"));
             return map;
         }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -79,12 +79,12 @@
         final Deployment deployment = seed % 2 == 0 ? Deployment.coastline() : Deployment.kilimanjaro();
         final SimCluster cluster = new SimCluster(deployment, seed).open();
         final String service = deployment.kin().get(0).service();
-        final String way =
-                deployment.ways().stream()
-                                .filter(w -> w.mode().equals("once"))
-                                .findFirst()
-                                .orElseThrow()
-                                .prefix() + "1";
+        final String way = deployment.ways().stream()
+                        .filter(traffic -> traffic.mode().equals("once"))
+                        .findFirst()
+                        .orElseThrow()
+                        .prefix()
+                + "1";
         final List<Integer> said = new ArrayList<>();
         final byte[] route = Json.write(
                         RunLog.row("prefix", "/extra/", "service", service, "mode", "cached", "lifetimeMs", 500))
@@ -224,7 +224,7 @@
                 .execute(() -> cluster.node("ed1")
                         .node()
                         .configurationService()
-                        .putItem(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
+                        .putItem(ROUTE, body(700), 0, "w", response -> said.add(response.status())));
         cluster.run(1950);
         assertEquals(List.of(200), said);
         cluster.kill("sh1", 300);
@@ -256,8 +256,10 @@
                                     text,
                                     0,
                                     "w",
-                                    s -> took.add(
-                                            s.status() == 200 ? cluster.world().now() - from : -1)));
+                                    response -> took.add(
+                                            response.status() == 200
+                                                    ? cluster.world().now() - from
+                                                    : -1)));
             cluster.run(900);
         }
         assertTrue(took.get(0) >= 400 && took.get(0) <= 460, took.toString());
@@ -273,7 +275,7 @@
                 .execute(() -> cluster.node("ed1")
                         .node()
                         .configurationService()
-                        .deleteItem(new ItemId(ItemKind.ROUTE, "x0"), 1, "d", s -> {}));
+                        .deleteItem(new ItemId(ItemKind.ROUTE, "x0"), 1, "d", response -> {}));
         cluster.run(1000);
         assertEquals(0, cluster.node("ed1").node().storeHealth().silent().size());
     }
@@ -291,7 +293,7 @@
                 .execute(() -> cluster.node("ed1")
                         .node()
                         .configurationService()
-                        .putItem(ROUTE, body(700), 0, "w", s -> said.add(s.status())));
+                        .putItem(ROUTE, body(700), 0, "w", response -> said.add(response.status())));
         cluster.run(5000);
         assertEquals(List.of(200), said);
         assertTrue(cluster.node(poor).disk().has("e/" + ROUTE.text()));
@@ -322,7 +324,7 @@
                                     text,
                                     0,
                                     "w",
-                                    s -> seen.add(s.status() + " "
+                                    response -> seen.add(response.status() + " "
                                             + cluster.node("st1").disk().has("e/ROUTE/x" + i) + " "
                                             + cluster.node("st2").disk().has("e/ROUTE/x" + i))));
             cluster.run(700);
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldRunTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldRunTest.java
@@ -81,8 +81,9 @@
 
     private static void state(final SimCluster cluster, final String at, final String text, final List<Integer> said) {
         final SimNode node = cluster.node(at);
-        node.execute(() ->
-                node.node().updateService().apply(text.getBytes(StandardCharsets.UTF_8), s -> said.add(s.status())));
+        node.execute(() -> node.node()
+                .updateService()
+                .apply(text.getBytes(StandardCharsets.UTF_8), response -> said.add(response.status())));
     }
 
     /** Version and note of the route at every node. */
@@ -162,14 +163,14 @@
         cluster.run(1000);
         final String victim = who.equals("authority") ? cluster.boss() : who;
         final List<Integer> disks = new ArrayList<>();
-        final Deployment.EdgeRouting w = cluster.place().ways().stream()
+        final Deployment.TrafficClass traffic = cluster.place().ways().stream()
                 .filter(x -> x.mode().equals("once"))
                 .findFirst()
                 .orElseThrow();
         final ClientRequest request = new ClientRequest(
                 "POST",
-                w.host(),
-                w.prefix() + "1",
+                traffic.host(),
+                traffic.prefix() + "1",
                 "the-key",
                 "{}".getBytes(),
                 "application/json",
@@ -199,7 +200,7 @@
                     bodies.add(response.fate() + new String(response.body(), StandardCharsets.UTF_8));
                     lose.run();
                 }));
-        final SimNode at = cluster.node("sh4");
+        final SimNode node = cluster.node("sh4");
         final Map<String, Object> sent = RunLog.row(
                 "log",
                 "op",
@@ -218,7 +219,7 @@
                 "status",
                 0);
         cluster.log().add(sent);
-        at.execute(() -> at.node()
+        node.execute(() -> node.node()
                 .updateService()
                 .apply(patch(cluster.place(), 9, "x").getBytes(StandardCharsets.UTF_8), s -> {
                     final Map<String, Object> put = new LinkedHashMap<>(sent);
--- a/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ShieldTrafficTest.java
@@ -46,18 +46,27 @@
                 () -> cluster.node("sh1")
                         .node()
                         .originRegistry()
-                        .onHeartbeat("i-own", ready, s -> said.add(s.status())),
-                () -> cluster.node("sh2").node().originRegistry().onHeartbeat("i-own", out, s -> said.add(s.status())),
+                        .onHeartbeat("i-own", ready, response -> said.add(response.status())),
+                () -> cluster.node("sh2")
+                        .node()
+                        .originRegistry()
+                        .onHeartbeat("i-own", out, response -> said.add(response.status())),
                 () -> cluster.node("sh3")
                         .node()
                         .originRegistry()
-                        .onHeartbeat("i-own", ready, s -> said.add(s.status())),
-                () -> cluster.node("sh4").node().originRegistry().onHeartbeat("i-own", late, s -> said.add(s.status())),
-                () -> cluster.node("sh1").node().originRegistry().onEnd("i-own", s -> said.add(s.status())),
+                        .onHeartbeat("i-own", ready, response -> said.add(response.status())),
+                () -> cluster.node("sh4")
+                        .node()
+                        .originRegistry()
+                        .onHeartbeat("i-own", late, response -> said.add(response.status())),
+                () -> cluster.node("sh1")
+                        .node()
+                        .originRegistry()
+                        .onEnd("i-own", response -> said.add(response.status())),
                 () -> cluster.node("sh2")
                         .node()
                         .originRegistry()
-                        .onHeartbeat("i-own", late, s -> said.add(s.status())));
+                        .onHeartbeat("i-own", late, response -> said.add(response.status())));
         for (int i = 0; i < steps.size(); i++) {
             cluster.node("sh1").execute(steps.get(i));
             cluster.run(1000);
@@ -67,7 +76,7 @@
                     .forEach(node -> assertEquals(
                             there,
                             node.node().configuration().liveOrigins(service, node.now()).keySet().stream()
-                                    .anyMatch(o -> o.name().equals("i-own")),
+                                    .anyMatch(other -> other.name().equals("i-own")),
                             node.id().text()));
         }
         assertEquals(List.of(200, 200, 200, 200, 200, 200), said);
@@ -80,11 +89,11 @@
         final SimCluster cluster = quiet(Deployment.kilimanjaroShields(), 4);
         cluster.crowd().factor(0.001);
         cluster.run(3000);
-        final Deployment.EdgeRouting w = cluster.place().ways().stream()
+        final Deployment.TrafficClass traffic = cluster.place().ways().stream()
                 .filter(x -> x.route().equals("catalogue"))
                 .findFirst()
                 .orElseThrow();
-        final String path = w.prefix() + "78";
+        final String path = traffic.prefix() + "78";
         final List<String> said = new ArrayList<>();
         final Runnable ask = () -> List.of("ed1", "ed2", "ed3")
                 .forEach(e -> cluster.node(e)
@@ -94,7 +103,7 @@
                                 .handle(
                                         new ClientRequest(
                                                 "GET",
-                                                w.host(),
+                                                traffic.host(),
                                                 path,
                                                 null,
                                                 new byte[0],
@@ -114,10 +123,10 @@
         ask.run();
         cluster.run(500);
         final List<Integer> purged = new ArrayList<>();
-        final Purge other = new Purge(null, path + "9", null, w.host(), null);
+        final Purge other = new Purge(null, path + "9", null, traffic.host(), null);
         final Purge what = wide
                 ? new Purge(null, null, null, null, StandInBackend.tag(path))
-                : new Purge(null, path, null, w.host(), null);
+                : new Purge(null, path, null, traffic.host(), null);
         cluster.node("sh2")
                 .execute(() -> cluster.node("sh2").node().updateService().purge(other, s -> purged.add(s.status())));
         cluster.run(1000);
--- a/testkit/src/test/java/org/rowanvalve/testkit/StormTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/StormTest.java
@@ -32,6 +32,7 @@
         }
         cluster.run(2000);
         assertEquals(0, stale, "nodes with a stale frame, each 10 ms");
-        assertEquals(600, said.stream().filter(s -> s.status() == 200).count());
+        assertEquals(
+                600, said.stream().filter(response -> response.status() == 200).count());
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/UpdateDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/UpdateDayTest.java
@@ -72,11 +72,11 @@
 
         void send() {
             final int mine = ++turn;
-            final SimNode at = cluster.node(SHIELDS.get(random.nextInt(SHIELDS.size())));
-            final long life = at.life();
-            if (at.alive()) {
-                at.execute(() -> at.node().updateService().apply(text.getBytes(StandardCharsets.UTF_8), r -> {
-                    if (at.life() == life && random.nextDouble() >= lost && status == 0 && r.status() < 500) {
+            final SimNode node = cluster.node(SHIELDS.get(random.nextInt(SHIELDS.size())));
+            final long life = node.life();
+            if (node.alive()) {
+                node.execute(() -> node.node().updateService().apply(text.getBytes(StandardCharsets.UTF_8), r -> {
+                    if (node.life() == life && random.nextDouble() >= lost && status == 0 && r.status() < 500) {
                         status = r.status();
                     }
                 }));
@@ -143,8 +143,8 @@
         cluster.cut(List.of("sh4"), 20_000);
         for (int v = 2; v <= 80; v++) {
             final long now = v;
-            final SimNode at = cluster.node(v % 2 == 0 ? "sh1" : "sh2");
-            at.execute(() -> at.node()
+            final SimNode node = cluster.node(v % 2 == 0 ? "sh1" : "sh2");
+            node.execute(() -> node.node()
                     .updateService()
                     .apply(call(now, "n" + now, "moving").getBytes(), r -> {
                         if (r.status() == 200) {
--- a/testkit/src/test/java/org/rowanvalve/testkit/ViewServerTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ViewServerTest.java
@@ -93,7 +93,7 @@
                 self,
                 VotingConfiguration.of(new Quorum(List.of(self), Set.of())),
                 clock,
-                (to, msg, wait, then) -> {},
+                (recipient, msg, wait, then) -> {},
                 new MonitoredStorage(kept, clock),
                 new EventJournal(clock, 10),
                 "b1",
--- a/testkit/src/test/java/org/rowanvalve/testkit/WalkThroughTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WalkThroughTest.java
@@ -30,17 +30,17 @@
         }
         final Path file = Files.writeString(dir.resolve("walk.sh"), script);
         final File out = dir.resolve("out").toFile();
-        final ProcessBuilder b = new ProcessBuilder("bash", file.toString())
+        final ProcessBuilder builder = new ProcessBuilder("bash", file.toString())
                 .directory(new File(".."))
                 .redirectErrorStream(true)
                 .redirectOutput(out);
-        b.environment()
+        builder.environment()
                 .put(
                         "NET",
                         "127." + (net + ProcessHandle.current().pid() % 50) + "."
                                 + ProcessHandle.current().pid() / 50 % 250);
-        b.environment().put("RUN", dir.resolve("run").toString());
-        final Process process = b.start();
+        builder.environment().put("RUN", dir.resolve("run").toString());
+        final Process process = builder.start();
         final boolean ended = process.waitFor(300, TimeUnit.SECONDS);
         process.descendants().forEach(ProcessHandle::destroyForcibly);
         process.destroyForcibly();
--- a/testkit/src/test/java/org/rowanvalve/testkit/WorstMomentTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/WorstMomentTest.java
@@ -112,7 +112,7 @@
         for (long off = 0; off < 8; off++) {
             final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 40 + off).open();
             cluster.net().slow(12);
-            cluster.origins().values().forEach(o -> o.fault("none", 15));
+            cluster.origins().values().forEach(origin -> origin.fault("none", 15));
             final String key = "aimed-" + off;
             final int shard = org.rowanvalve.control.placement.PlacementPlan.shardOf("reserve", "reserve", key, 32);
             final String holder = cluster.node("ed1")
@@ -153,13 +153,13 @@
                     cluster.world().in(1500, cluster.origins().get(o)::start);
                 });
             }
-            case "lose" -> cluster.origins().values().forEach(o -> o.fault("lose", 3));
+            case "lose" -> cluster.origins().values().forEach(origin -> origin.fault("lose", 3));
             default ->
                 cluster.origins().values().stream()
-                        .filter(o -> o.name().startsWith("reserve"))
-                        .forEach(o -> {
-                            o.kill();
-                            cluster.world().in(1500, o::start);
+                        .filter(origin -> origin.name().startsWith("reserve"))
+                        .forEach(origin -> {
+                            origin.kill();
+                            cluster.world().in(1500, origin::start);
                         });
         }
     }
@@ -171,8 +171,8 @@
         for (long seed = 1; seed <= 6; seed++) {
             final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed).open();
             cluster.origins().values().stream()
-                    .filter(o -> o.name().startsWith("reserve"))
-                    .forEach(o -> o.kill());
+                    .filter(origin -> origin.name().startsWith("reserve"))
+                    .forEach(origin -> origin.kill());
             cluster.run(12_000);
             final String key = "again-" + seed;
             final int shard = org.rowanvalve.control.placement.PlacementPlan.shardOf("reserve", "reserve", key, 32);
@@ -188,8 +188,8 @@
             cluster.run(3000);
             assertEquals(List.of("refused"), got);
             cluster.origins().values().stream()
-                    .filter(o -> o.name().startsWith("reserve"))
-                    .forEach(o -> o.start());
+                    .filter(origin -> origin.name().startsWith("reserve"))
+                    .forEach(origin -> origin.start());
             cluster.kill(holder, 0);
             cluster.run(9000);
             ask(cluster, "ed2", post(key), got);
@@ -223,8 +223,9 @@
                                 body,
                                 0,
                                 "w",
-                                s -> end[0] =
-                                        s.status() == 200 ? cluster.world().now() : -1));
+                                response -> end[0] = response.status() == 200
+                                        ? cluster.world().now()
+                                        : -1));
         cluster.run(3000);
         assertTrue(end[0] > 0);
         for (final String n : cluster.nodes().keySet()) {
@@ -256,9 +257,9 @@
                                 new ItemId(ItemKind.ROUTE, "terms"),
                                 1,
                                 "d",
-                                (ApiResponse s) -> said.add(
-                                        s.status() + " " + (cluster.world().now() - from) + " "
-                                                + s.body().get("retryAfterMs"))));
+                                (ApiResponse response) -> said.add(response.status() + " "
+                                        + (cluster.world().now() - from) + " "
+                                        + response.body().get("retryAfterMs"))));
         cluster.run(4000);
         assertEquals(1, said.size());
         final String[] parts = said.get(0).split(" ");
--- a/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
@@ -23,13 +23,13 @@
     private static final int SIZE = 40;
     private static final long MOST = 60_000;
 
-    private static MessageTally.Count count(final LightweightNode h, final String kind) {
-        return h.tally().counts().getOrDefault(kind, new MessageTally.Count(0, 0));
+    private static MessageTally.Count count(final LightweightNode node, final String kind) {
+        return node.tally().counts().getOrDefault(kind, new MessageTally.Count(0, 0));
     }
 
     private static Map<NodeId, MessageTally.Count> counts(final List<LightweightNode> all, final String kind) {
         final Map<NodeId, MessageTally.Count> map = new HashMap<>();
-        all.forEach(h -> map.put(h.id(), count(h, kind)));
+        all.forEach(node -> map.put(node.id(), count(node, kind)));
         return map;
     }
 
@@ -77,9 +77,10 @@
         herd.waves().begin(key, herd.up().stream().map(LightweightNode::id).toList());
         door.loop().execute(() -> door.node().updateService().purge(purge, said -> {}));
         assertTrue(
-                LightweightNodes.until(List.of(door), MOST, h -> herd.waves().done() == 1) >= 0, "a purge everywhere");
+                LightweightNodes.until(List.of(door), MOST, node -> herd.waves().done() == 1) >= 0,
+                "a purge everywhere");
         assertTrue(LightweightNodes.until(
-                        List.of(door), MOST, h -> count(h, "out Learn").frames() - out.frames() == SIZE - 1)
+                        List.of(door), MOST, node -> count(node, "out Learn").frames() - out.frames() == SIZE - 1)
                 >= 0);
         assertEquals(0, count(door, "in Ok").frames());
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/sim/SimConnectionsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/sim/SimConnectionsTest.java
@@ -21,7 +21,7 @@
     private final List<Message> arrived = new ArrayList<>();
 
     private void ask(final long wait) {
-        cluster.net().tap((to, msg) -> {
+        cluster.net().tap((recipient, msg) -> {
             if (msg instanceof LearnNotification l && l.items().isEmpty()) {
                 arrived.add(msg);
             }
