--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
@@ -0,0 +1,25 @@
+package org.rowanvalve.data.node;
+
+import java.util.List;
+import java.util.function.Supplier;
+import org.rowanvalve.common.model.NodeId;
+import org.rowanvalve.common.model.Role;
+import org.rowanvalve.data.edge.MembershipRouting;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.settings.NodeSettings;
+
+/** What a dispatcher of origin requests asks of the rest of its node. */
+final class DispatcherSurroundings {
+    private DispatcherSurroundings() {}
+
+    /** {@code peers}: the other shields that are heard from, for a shield. */
+    static OriginDispatcher.Surroundings of(
+            final NodeSettings settings, final CoreComponents core, final Supplier<List<NodeId>> peers) {
+        return new OriginDispatcher.Surroundings(
+                core.viewSynchronizer::isFresh,
+                () -> MembershipRouting.alone(settings, core.membership, core.votingConfiguration),
+                peers,
+                () -> Math.max(1, core.membership.knownCount(Role.EDGE)),
+                () -> core.membership.knownCount(Role.SHIELD));
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -7,12 +7,10 @@
 import org.rowanvalve.common.model.NodeStatus;
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.common.runtime.EventLoop;
-import org.rowanvalve.control.election.LeaderElection;
 import org.rowanvalve.control.membership.Membership;
 import org.rowanvalve.control.view.ViewSynchronizer;
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.edge.Edge;
-import org.rowanvalve.data.origin.OriginDispatcher;
 
 /** A node's orderly stop: no new callers, tenure given back, shards and vote handed over. */
 final class GracefulShutdown {
@@ -28,21 +26,17 @@
     private final EventLoop loop;
     private final EventJournal journal;
     private final NodeId self;
-    private final Edge edge;
-    private final OriginDispatcher dispatcher;
     private boolean started;
     private boolean wasVoter;
     private boolean outcomeJournaled;
     private long startedAt;
     private long withoutLeasesSince;
 
-    GracefulShutdown(final Node node, final Edge edge, final OriginDispatcher dispatcher) {
+    GracefulShutdown(final Node node) {
         this.node = node;
         this.loop = node.loop();
         this.journal = node.journal();
         this.self = node.settings().self().id();
-        this.edge = edge;
-        this.dispatcher = dispatcher;
     }
 
     boolean isStarted() {
@@ -53,26 +47,31 @@
         started = true;
         startedAt = loop.now();
         withoutLeasesSince = startedAt;
-        wasVoter = node.acceptor() != null && node.votingConfiguration().isVoter(self);
+        wasVoter = node.voter().isPresent() && node.votingConfiguration().isVoter(self);
         journal.add(Event.of(EventCode.STOPPING, "node", self.text()));
         final long deadline = startedAt + timeoutMs;
-        final Runnable continuation = edge == null
-                ? () -> drain(deadline, callback)
-                : () -> loop.schedule(Math.min(node.settings().drainNoticeMs(), timeoutMs), () -> {
-                    edge.close();
-                    drain(deadline, callback);
-                });
-        final LeaderElection election = node.election();
-        if (election != null) {
-            election.resign(continuation);
-        } else {
-            continuation.run();
-        }
+        final Runnable continuation = node.edgeComponents()
+                .<Runnable>map(components -> () -> closeEdge(components.edge(), timeoutMs, deadline, callback))
+                .orElse(() -> drain(deadline, callback));
+        node.leader().ifPresentOrElse(components -> components.election().resign(continuation), continuation);
+    }
+
+    /** An edge takes requests for a while longer, so that whoever sends them hears of the shutdown and turns elsewhere. */
+    private void closeEdge(final Edge edge, final long timeoutMs, final long deadline, final Runnable callback) {
+        loop.schedule(Math.min(node.settings().drainNoticeMs(), timeoutMs), () -> {
+            edge.close();
+            drain(deadline, callback);
+        });
     }
 
     private void drain(final long deadline, final Runnable callback) {
-        final boolean idle = (edge == null || edge.openRequests() == 0 && edge.isQuiet(QUIET_MS))
-                && (dispatcher == null || dispatcher.inFlight() == 0)
+        final boolean idle = node.edgeComponents()
+                        .map(EdgeComponents::edge)
+                        .filter(edge -> edge.openRequests() > 0 || !edge.isQuiet(QUIET_MS))
+                        .isEmpty()
+                && node.dispatcher()
+                        .filter(dispatcher -> dispatcher.inFlight() > 0)
+                        .isEmpty()
                 && areShardsHandedOver()
                 && isVoterReplaced();
         if (idle || loop.now() >= deadline) {
@@ -87,7 +86,7 @@
 
     /** A shield's stop is heard once the plan no longer names it; with nobody to hear, it does not wait for long. */
     private boolean areShardsHandedOver() {
-        if (node.leaseHolder() == null) {
+        if (node.shield().isEmpty()) {
             return true;
         }
         if (node.leaseHolder().heldCount() > 0) {
--- a/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
+++ b/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
@@ -35,60 +35,43 @@
 import org.rowanvalve.common.message.VotersRequest;
 import org.rowanvalve.common.message.VotersResponse;
 import org.rowanvalve.common.model.NodeId;
-import org.rowanvalve.control.lease.LeaseManager;
-import org.rowanvalve.control.view.ViewServer;
-import org.rowanvalve.data.origin.OriginDispatcher;
-import org.rowanvalve.data.shield.Shield;
 
 /** Brings each message to the part of the node that it is for. */
 final class MessageRouter {
     private final Node node;
-    private final ViewServer viewServer;
-    private final LeaseManager leaseManager;
-    private final OriginDispatcher dispatcher;
-    private final Shield shield;
     private final Consumer<ChosenItem> learner;
 
-    MessageRouter(
-            final Node node,
-            final ViewServer viewServer,
-            final LeaseManager leaseManager,
-            final OriginDispatcher dispatcher,
-            final Shield shield,
-            final Consumer<ChosenItem> learner) {
+    MessageRouter(final Node node, final Consumer<ChosenItem> learner) {
         this.node = node;
-        this.viewServer = viewServer;
-        this.leaseManager = leaseManager;
-        this.dispatcher = dispatcher;
-        this.shield = shield;
         this.learner = learner;
     }
 
     void route(final NodeId from, final Message message, final Consumer<Message> callback) {
-        if (node.acceptor() != null && routeToVoter(from, message, callback)) {
+        if (node.voter().isPresent() && routeToVoter(node.voter().get(), from, message, callback)) {
             return;
         }
         routeOther(from, message, callback);
     }
 
-    private boolean routeToVoter(final NodeId from, final Message message, final Consumer<Message> callback) {
+    private boolean routeToVoter(
+            final VoterComponents voter, final NodeId from, final Message message, final Consumer<Message> callback) {
         if (message instanceof PrepareRequest request) {
-            node.acceptor().prepare(request, callback);
+            voter.acceptor().prepare(request, callback);
         } else if (message instanceof AcceptRequest request) {
-            node.acceptor().accept(request, callback);
+            voter.acceptor().accept(request, callback);
         } else if (message instanceof StateTransferRequest request) {
-            node.acceptor().transferState(from, request, callback);
+            voter.acceptor().transferState(from, request, callback);
         } else if (message instanceof DigestRequest request) {
-            viewServer.onDigestRequest(request, callback);
+            voter.viewServer().onDigestRequest(request, callback);
         } else if (message instanceof MissingItemsRequest request) {
-            viewServer.onMissingItemsRequest(request, callback);
+            voter.viewServer().onMissingItemsRequest(request, callback);
         } else if (message instanceof RegisterHandoverRequest request) {
-            node.acceptor().handOverRegisters(from, request, callback);
+            voter.acceptor().handOverRegisters(from, request, callback);
         } else if (message instanceof RecordHandoverRequest request) {
-            node.acceptor().handOverRecords(from, request, callback);
+            voter.acceptor().handOverRecords(from, request, callback);
         } else if (message instanceof StandbyPrepareRequest request) {
-            node.keyedRecords()
-                    .prepareStandby(warm -> node.acceptor()
+            voter.keyedRecords()
+                    .prepareStandby(warm -> voter.acceptor()
                             .prepareStandby(
                                     request.epoch(),
                                     warm
@@ -132,22 +115,24 @@
             node.updateService().onForwarded(request, callback);
         } else if (message instanceof HeartbeatRequest request) {
             node.membership().onHeartbeat(request, callback);
-        } else if (message instanceof LeaseHelloRequest request && leaseManager != null) {
-            leaseManager.onHello(from, request, callback);
-        } else if (message instanceof LeaseRenewRequest request && leaseManager != null) {
-            leaseManager.onRenew(from, request, callback);
-        } else if (message instanceof LeaseGrantRequest request && node.leaseHolder() != null) {
+        } else if (message instanceof LeaseHelloRequest request && node.leader().isPresent()) {
+            node.leader().get().leaseManager().onHello(from, request, callback);
+        } else if (message instanceof LeaseRenewRequest request && node.leader().isPresent()) {
+            node.leader().get().leaseManager().onRenew(from, request, callback);
+        } else if (message instanceof LeaseGrantRequest request && node.shield().isPresent()) {
             node.leaseHolder().onGrant(from, request, callback);
-        } else if (message instanceof LeaseRevokeRequest request && node.leaseHolder() != null) {
+        } else if (message instanceof LeaseRevokeRequest request
+                && node.shield().isPresent()) {
             node.leaseHolder().onRevoke(from, request, callback);
-        } else if (message instanceof FenceAckRequest request && node.leaseHolder() != null) {
+        } else if (message instanceof FenceAckRequest request && node.shield().isPresent()) {
             node.leaseHolder().onFenceAck(request, callback);
-        } else if (message instanceof ForwardRequest request && shield != null) {
-            shield.handle(from, request, callback);
-        } else if (message instanceof AttemptGrantRequest request && node.edge() != null) {
+        } else if (message instanceof ForwardRequest request && node.shield().isPresent()) {
+            node.shield().get().shield().handle(from, request, callback);
+        } else if (message instanceof AttemptGrantRequest request
+                && node.edgeComponents().isPresent()) {
             callback.accept(new AttemptGrantResponse(node.edge().grantAttempts(from, request.serial())));
-        } else if (message instanceof LoadReport request && dispatcher != null) {
-            dispatcher.onLoadReport(from, request);
+        } else if (message instanceof LoadReport request && node.dispatcher().isPresent()) {
+            node.dispatcher().get().onLoadReport(from, request);
             callback.accept(new AckResponse());
         } else if (message instanceof VotersRequest) {
             callback.accept(new VotersResponse(
--- a/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
+++ b/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
@@ -3,17 +3,14 @@
 import java.util.function.BooleanSupplier;
 import org.rowanvalve.common.model.NodeStatus;
 import org.rowanvalve.common.model.Role;
-import org.rowanvalve.data.origin.OriginDispatcher;
 
 /** How ready a node is, by what it holds and hears. */
 final class NodeStatusMonitor {
     private final Node node;
-    private final OriginDispatcher dispatcher;
     private final BooleanSupplier draining;
 
-    NodeStatusMonitor(final Node node, final OriginDispatcher dispatcher, final BooleanSupplier draining) {
+    NodeStatusMonitor(final Node node, final BooleanSupplier draining) {
         this.node = node;
-        this.dispatcher = dispatcher;
         this.draining = draining;
     }
 
@@ -27,12 +24,13 @@
         if (!node.viewSynchronizer().isFresh()) {
             return NodeStatus.PARTIAL;
         }
-        final boolean stateComplete = node.acceptor() == null
-                || node.acceptor().isVoting()
-                || !node.votingConfiguration().isVoter(node.settings().self().id());
-        final boolean holdsLease =
-                node.leaseHolder() == null || node.leaseHolder().heldCount() > 0;
-        final boolean hasShield = node.edge() == null
+        final boolean stateComplete = !node.votingConfiguration()
+                        .isVoter(node.settings().self().id())
+                || node.voter().filter(voter -> !voter.acceptor().isVoting()).isEmpty();
+        final boolean holdsLease = node.shield()
+                .filter(shield -> shield.leaseHolder().heldCount() == 0)
+                .isEmpty();
+        final boolean hasShield = node.edgeComponents().isEmpty()
                 || !node.membership().liveMembers(Role.SHIELD).isEmpty();
         return stateComplete && holdsLease && hasShield ? NodeStatus.READY : NodeStatus.PARTIAL;
     }
@@ -47,7 +45,10 @@
     }
 
     private int loadScore() {
-        return (node.edge() == null ? 0 : node.edge().openRequests() / 40)
-                + (node.leaseHolder() == null ? 0 : dispatcher.inFlight() / 10);
+        final int requests =
+                node.edgeComponents().map(edge -> edge.edge().openRequests()).orElse(0);
+        final int sends =
+                node.shield().map(shield -> shield.dispatcher().inFlight()).orElse(0);
+        return requests / 40 + sends / 10;
     }
 }
--- /dev/null
+++ b/data/src/main/java/org/rowanvalve/data/node/ShieldComponents.java
@@ -0,0 +1,84 @@
+package org.rowanvalve.data.node;
+
+import java.util.List;
+import java.util.function.Consumer;
+import org.rowanvalve.common.event.EventJournal;
+import org.rowanvalve.common.message.ShardDemand;
+import org.rowanvalve.control.lease.LeaseHolder;
+import org.rowanvalve.control.record.RecordRetention;
+import org.rowanvalve.data.keyed.KeyedRequests;
+import org.rowanvalve.data.origin.OriginDispatcher;
+import org.rowanvalve.data.settings.NodeSettings;
+import org.rowanvalve.data.shield.Shield;
+
+/** What a shield has: its leases, the way to origins, and the requests of edges. */
+final class ShieldComponents {
+    private final LeaseHolder leaseHolder;
+    private final OriginDispatcher dispatcher;
+    private final Shield shield;
+
+    ShieldComponents(
+            final NodeSettings settings,
+            final Node.Runtime runtime,
+            final CoreComponents core,
+            final EventJournal journal) {
+        leaseHolder = new LeaseHolder(
+                runtime.loop(),
+                runtime.transport(),
+                core.items,
+                settings.timings(),
+                journal,
+                () -> !core.clockSkew.exceedsBound(),
+                this::drainDemand,
+                this::stopFills);
+        dispatcher = new OriginDispatcher(
+                settings,
+                runtime.loop(),
+                runtime.transport(),
+                runtime.originTransport(),
+                core.configuration,
+                leaseHolder,
+                DispatcherSurroundings.of(settings, core, core.voterLinks::otherShields),
+                journal);
+        final KeyedRequests keyedRequests = new KeyedRequests(
+                core.votingConfiguration,
+                runtime.loop(),
+                runtime.transport(),
+                leaseHolder,
+                journal,
+                core.storeHealth,
+                settings.self().id() + "#" + settings.self().incarnation(),
+                new RecordRetention(settings.keyWindowMs(), core.configuration::longestKeyedTimeoutMs));
+        shield = new Shield(
+                runtime.loop(),
+                runtime.transport(),
+                core.configuration,
+                leaseHolder,
+                dispatcher,
+                keyedRequests,
+                core.viewSynchronizer::isFresh,
+                core.viewSynchronizer::poll,
+                settings,
+                settings.cacheBytes());
+    }
+
+    private List<ShardDemand> drainDemand() {
+        return dispatcher.drainDemand();
+    }
+
+    private void stopFills(final int shard, final long graceMs, final Consumer<Boolean> callback) {
+        dispatcher.stop(shard, graceMs, callback);
+    }
+
+    LeaseHolder leaseHolder() {
+        return leaseHolder;
+    }
+
+    OriginDispatcher dispatcher() {
+        return dispatcher;
+    }
+
+    Shield shield() {
+        return shield;
+    }
+}
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -109,7 +109,7 @@
         report.put("plan", plan);
         report.put("weights", node.configuration().plan().weights());
         final Map<String, Object> leases = new TreeMap<>();
-        if (node.leaseHolder() != null) {
+        if (node.shield().isPresent()) {
             node.leaseHolder()
                     .leases()
                     .forEach((shard, lease) ->
@@ -134,10 +134,10 @@
                                     origin.draining() ? "leaving" : age < origin.ttlMs() ? "live" : "stale"));
                 });
         report.put("origins", origins);
-        if (node.election() != null) {
+        if (node.leader().isPresent()) {
             report.put("acting", node.election().isLeader());
         }
-        if (node.acceptor() != null) {
+        if (node.voter().isPresent()) {
             report.put("elector", voterState());
             report.put("keys", node.keyedRecords().size());
         }
--- a/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
@@ -4,17 +4,13 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.StorageException;
-import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.consensus.Acceptor;
 import org.rowanvalve.control.consensus.MonitoredStorage;
-import org.rowanvalve.control.consensus.Proposer;
 import org.rowanvalve.control.consensus.UnfinishedWriteRecovery;
-import org.rowanvalve.control.membership.Membership;
 import org.rowanvalve.control.record.KeyedRecordStore;
 import org.rowanvalve.control.record.RecordRetention;
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewServer;
-import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.settings.NodeSettings;
 
 /** What a node has that votes or may be called to: the voter, its records of keyed requests, and what they need. */
@@ -30,44 +26,40 @@
     VoterComponents(
             final NodeSettings settings,
             final Node.Runtime runtime,
-            final VotingConfiguration votingConfiguration,
-            final ItemStore items,
-            final ConfigurationView configuration,
-            final Membership membership,
-            final Proposer proposer,
+            final CoreComponents core,
             final EventJournal journal) {
         loop = runtime.loop();
-        this.items = items;
+        items = core.items;
         final NodeId ownId = settings.self().id();
         final String incarnation = settings.self().incarnation();
         final MonitoredStorage storage = new MonitoredStorage(runtime.storage(), loop);
         acceptor = new Acceptor(
                 ownId,
-                votingConfiguration,
+                core.votingConfiguration,
                 loop,
                 runtime.transport(),
                 storage,
                 journal,
                 incarnation,
                 settings.firstBoot(),
-                () -> !membership.itemsReported());
+                () -> !core.membership.itemsReported());
         keyedRecords = new KeyedRecordStore(
                 ownId,
                 incarnation,
-                votingConfiguration,
+                core.votingConfiguration,
                 runtime.transport(),
                 loop,
                 runtime.wallClock(),
                 storage,
                 journal,
-                new RecordRetention(settings.keyWindowMs(), configuration::longestKeyedTimeoutMs));
+                new RecordRetention(settings.keyWindowMs(), core.configuration::longestKeyedTimeoutMs));
         writeRecovery = new UnfinishedWriteRecovery(
                 acceptor,
                 items,
-                proposer,
+                core.proposer,
                 loop,
                 runtime.random(),
-                () -> votingConfiguration.voters().indexOf(ownId));
+                () -> core.votingConfiguration.voters().indexOf(ownId));
         viewServer = new ViewServer(acceptor, items, loop);
     }
 
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
@@ -135,8 +135,8 @@
         }
         keepers.loop.run(500);
         assertEquals(60, answers.stream().filter(RequestOutcome.DONE::equals).count(), answers.toString());
-        assertTrue(keepers.asked.get("KeepRead") <= 6, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("Kept") < 3 * 110 * 300, "bytes " + keepers.bytes);
+        assertTrue(keepers.asked.get("RecordReadRequest") <= 6, "questions " + keepers.asked);
+        assertTrue(keepers.bytes.get("RecordReadResponse") < 3 * 110 * 300, "bytes " + keepers.bytes);
     }
 
     /** Bytes of a reading grow with the records that stand, and with nothing else. */
@@ -148,8 +148,9 @@
             some.fill(SHARD, records, 1500);
             some.bytes.clear();
             read(some, 5000);
-            cost.put(records, some.bytes.get("Kept"));
-            assertTrue(some.bytes.get("Kept") <= 3L * records * 290 + 3 * 300, records + ": " + some.bytes);
+            cost.put(records, some.bytes.get("RecordReadResponse"));
+            assertTrue(
+                    some.bytes.get("RecordReadResponse") <= 3L * records * 290 + 3 * 300, records + ": " + some.bytes);
         }
         final double growth = (double) cost.get(1000) / cost.get(100);
         assertTrue(growth > 9 && growth < 10.5, "ten times the records: " + growth);
@@ -193,8 +194,8 @@
         assertTrue(answers.contains(RequestOutcome.REFUSED), "those that waited were refused: " + answers);
         assertTrue(answers.contains(RequestOutcome.DONE), "and later ones are served: " + answers);
         assertFalse(answers.subList(100, 160).contains(RequestOutcome.REFUSED), answers.toString());
-        assertTrue(keepers.asked.get("KeepRead") <= 12, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("Kept") <= 6 * 110 * 300, "bytes " + keepers.bytes);
+        assertTrue(keepers.asked.get("RecordReadRequest") <= 12, "questions " + keepers.asked);
+        assertTrue(keepers.bytes.get("RecordReadResponse") <= 6 * 110 * 300, "bytes " + keepers.bytes);
         assertEquals(1, shortages(), "told once");
     }
 
@@ -206,7 +207,7 @@
         final int[] n = {0};
         keepers.delay = (id, m) -> ++n[0] % 4 == 0 ? -1L : 35L;
         assertTrue(read(keepers, 20_000));
-        assertTrue(keepers.bytes.get("Kept") <= 3 * 1000 * 290 * 5 / 3, "bytes " + keepers.bytes);
+        assertTrue(keepers.bytes.get("RecordReadResponse") <= 3 * 1000 * 290 * 5 / 3, "bytes " + keepers.bytes);
     }
 
     /** Half a read must not count: a majority of whole ones is needed. */
@@ -228,8 +229,8 @@
         take(desk, "new", 1000);
         keepers.loop.run(20_000);
         assertEquals(List.of(RequestOutcome.REFUSED), answers);
-        assertTrue(keepers.asked.get("KeepRead") <= 60, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("Kept") <= 60 * 300 + 3 * 300 * 10, "bytes " + keepers.bytes);
+        assertTrue(keepers.asked.get("RecordReadRequest") <= 60, "questions " + keepers.asked);
+        assertTrue(keepers.bytes.get("RecordReadResponse") <= 60 * 300 + 3 * 300 * 10, "bytes " + keepers.bytes);
     }
 
     /** A repeat at a later holder gets the body that the earlier one's keepers have. */
@@ -244,7 +245,7 @@
         assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
         assertEquals(900, filled.get(0).body().length);
         assertEquals(201, filled.get(0).status());
-        assertTrue(keepers.asked.get("KeepOutcome") <= 2, "fetched once for both " + keepers.asked);
+        assertTrue(keepers.asked.get("OutcomeRequest") <= 2, "fetched once for both " + keepers.asked);
         take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
         keepers.loop.run(100);
         assertEquals(3, answers.size(), "then it is here");
@@ -269,12 +270,12 @@
         final KeyedRequests desk = desk("w");
         take(desk, "k1", 1000);
         keepers.loop.run(200);
-        final int before = keepers.asked.get("KeepRead");
+        final int before = keepers.asked.get("RecordReadRequest");
         keepers.stores.get(A).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         take(desk, "k2", 1000);
         keepers.loop.run(200);
         assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
-        assertEquals(before + 2, keepers.asked.get("KeepRead"), "both pages of that one");
+        assertEquals(before + 2, keepers.asked.get("RecordReadRequest"), "both pages of that one");
         keepers.stores.get(B).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         keepers.stores.get(C).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
         take(desk, "k3", 1000);
@@ -329,8 +330,8 @@
         take(desk, "k2", 1000);
         keepers.loop.run(200);
         assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
-        assertEquals(6, keepers.asked.get("KeepRead"), "two pages of each");
-        assertTrue(keepers.bytes.get("Kept") < 3 * 111 * 300, "bytes " + keepers.bytes);
+        assertEquals(6, keepers.asked.get("RecordReadRequest"), "two pages of each");
+        assertTrue(keepers.bytes.get("RecordReadResponse") < 3 * 111 * 300, "bytes " + keepers.bytes);
     }
 
     /** A write on its way when the epoch changes is written again in the new one; one acknowledgement of each is none. */
@@ -363,6 +364,6 @@
         keepers.loop.run(5000);
         assertEquals(List.of(RequestOutcome.REFUSED), answers);
         assertEquals(0, sent);
-        assertTrue(keepers.asked.get("KeepRead") < 30, "questions " + keepers.asked);
+        assertTrue(keepers.asked.get("RecordReadRequest") < 30, "questions " + keepers.asked);
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -197,7 +197,7 @@
         final String from = Optional.ofNullable(call.query().getValue("from")).orElse("");
         if (!call.pathPart(2).equals("vouch")
                 || !call.method().equals("POST")
-                || node.acceptor() == null
+                || !node.settings().mayVote()
                 || !from.matches("[a-z0-9][a-z0-9-]{0,40}")) {
             callback.accept(notFound());
             return;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
@@ -390,7 +390,7 @@
     public String boss() {
         return nodes.values().stream()
                 .filter(node -> node.alive()
-                        && node.node().election() != null
+                        && node.node().settings().arbitrates()
                         && node.node().election().isLeader())
                 .map(node -> node.id().text())
                 .findFirst()
--- a/testkit/src/test/java/org/rowanvalve/testkit/KeyedDayTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/KeyedDayTest.java
@@ -36,7 +36,13 @@
 
     private static long keepBytes(final SimCluster cluster) {
         return cluster.net().kinds().entrySet().stream()
-                .filter(entry -> List.of("KeepRead", "Kept", "KeepSums", "KeptSums", "KeepCells", "KeptCells")
+                .filter(entry -> List.of(
+                                "RecordReadRequest",
+                                "RecordReadResponse",
+                                "RecordChecksumsRequest",
+                                "RecordChecksumsResponse",
+                                "RecordPageRequest",
+                                "RecordPageResponse")
                         .contains(entry.getKey()))
                 .mapToLong(Map.Entry::getValue)
                 .sum();
@@ -45,7 +51,7 @@
     private static void whole(final SimCluster cluster) {
         cluster.nodes().values().stream()
                 .filter(node -> node.alive()
-                        && node.node().acceptor() != null
+                        && node.node().settings().mayVote()
                         && node.node().acceptor().isVoting())
                 .forEach(
                         node -> assertFalse(node.node().keyedRecords().isIncomplete(), node.id() + " has its records"));
@@ -167,7 +173,7 @@
                 0,
                 cluster.nodes().values().stream()
                         .filter(node -> node.alive()
-                                && node.node().keyedRecords() != null
+                                && node.node().settings().mayVote()
                                 && node.node().keyedRecords().isIncomplete()
                                 && node.node().acceptor().isVoting())
                         .count());
--- a/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -452,7 +452,10 @@
         cluster.run(9000);
         heard.clear();
         cluster.run(4000);
-        assertEquals(List.of("Revoke", "FenceAck", "Place"), heard.subList(0, 3), heard.toString());
+        assertEquals(
+                List.of("LeaseRevokeRequest", "FenceAckRequest", "LeaseGrantRequest"),
+                heard.subList(0, 3),
+                heard.toString());
         assertTrue(cluster.node("sh3").node().leaseHolder().heldCount() > 0, "and it holds shards again");
         assertEquals(NodeId.of("sh3"), cluster.node("sh3").id());
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -123,7 +123,8 @@
         cluster.nodes()
                 .values()
                 .forEach(node -> assertTrue(
-                        node.node().acceptor() == null || node.node().acceptor().hasState(),
+                        !node.node().settings().mayVote()
+                                || node.node().acceptor().hasState(),
                         node.id().text()));
         cluster.nodes().keySet().forEach(n -> assertEquals(1, ver(cluster, n, ROUTE), n));
         final List<String> again = new ArrayList<>();
