--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -30,7 +30,8 @@
         final CBORMapper map = CBORMapper.builder()
                 .disable(MapperFeature.AUTO_DETECT_IS_GETTERS)
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-                .serializationInclusion(JsonInclude.Include.NON_NULL)
+                .defaultPropertyInclusion(
+                        JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
                 .build();
         map.addMixIn(Message.class, Typed.class);
         map.registerSubtypes(Message.class.getPermittedSubclasses());
--- a/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -120,12 +121,12 @@
     }
 
     private Optional<Message> accept(final NodeId voter, final long round) {
-        final Optional<Message>[] got = new Optional[] {Optional.empty()};
+        final List<Message> got = new ArrayList<>();
         final Ballot ballot = new Ballot(round, "w");
         final Item item = new Item(ITEM, new Version(round), "{}", false, "t" + round);
-        voters.get(voter).accept(new AcceptRequest(0, ballot, item, null), m -> got[0] = Optional.of(m));
+        voters.get(voter).accept(new AcceptRequest(0, ballot, item, null), got::add);
         loop.run(10);
-        return got[0];
+        return got.stream().findFirst();
     }
 
     @Test
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -1,9 +1,11 @@
 package org.rowanvalve.data.node;
 
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 import org.rowanvalve.common.message.ChosenItem;
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
@@ -14,6 +16,9 @@
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.control.election.Leadership;
 import org.rowanvalve.control.json.Json;
+import org.rowanvalve.control.placement.PlacementPlan;
+import org.rowanvalve.control.view.ViewSynchronizer;
+import org.rowanvalve.control.voting.VotingConfiguration;
 
 /** What one node believes, as JSON, for operators and for the comparison of two nodes. */
 public final class StatusReport {
@@ -56,96 +61,118 @@
                         .toList();
     }
 
+    /** Everything, in the order in which operators read it; names of members never change. */
     public Map<String, Object> toMap() {
         final Map<String, Object> report = new LinkedHashMap<>();
-        report.put("node", node.settings().self().id().text());
-        report.put("role", node.settings().self().role().label());
-        report.put("cell", node.settings().self().location());
-        report.put("boot", node.settings().self().incarnation());
-        report.put("version", node.settings().self().version());
+        addIdentity(report);
+        addView(report);
+        addItems(report);
+        addPlacement(report);
+        report.put("leases", leases());
+        report.put("origins", origins());
+        addDuties(report);
+        addVoting(report);
+        return report;
+    }
+
+    private void addIdentity(final Map<String, Object> report) {
+        final Member self = node.settings().self();
+        report.put("node", self.id().text());
+        report.put("role", self.role().label());
+        report.put("cell", self.location());
+        report.put("boot", self.incarnation());
+        report.put("version", self.version());
         report.put("condition", node.status().code());
         report.put("grade", node.readinessScore());
-        report.put(
-                "frameAgeMs",
-                node.viewSynchronizer().isFresh() ? node.viewSynchronizer().ageMs() : -1);
+    }
+
+    private void addView(final Map<String, Object> report) {
+        final ViewSynchronizer view = node.viewSynchronizer();
+        report.put("frameAgeMs", view.isFresh() ? view.ageMs() : -1);
         report.put("driftMs", node.clockSkew().medianSkewMs());
-        report.put(
-                "storesSilent",
-                node.storeHealth().silent().stream().map(NodeId::text).sorted().toList());
+        report.put("storesSilent", texts(node.storeHealth().silent()).sorted().toList());
         final Map<String, Object> members = new TreeMap<>();
         node.membership()
                 .liveMembers()
                 .forEach(member ->
                         members.put(member.id().text(), member.status().code()));
         report.put("members", members);
+    }
+
+    private void addItems(final Map<String, Object> report) {
         report.put(
                 "findings",
                 node.configurationService().referenceErrors().stream()
                         .map(Object::toString)
                         .toList());
-        final Map<String, Object> items = new TreeMap<>();
-        node.items().all().stream()
-                .map(ChosenItem::item)
-                .forEach(item -> items.put(
-                        item.id().kind().label() + "/" + item.id().name(),
-                        item.version().number()));
-        report.put("items", items);
+        final Map<String, Object> versions = new TreeMap<>();
+        items().forEach(item -> versions.put(
+                item.id().kind().label() + "/" + item.id().name(),
+                item.version().number()));
+        report.put("items", versions);
+    }
+
+    private Stream<Item> items() {
+        return node.items().all().stream().map(ChosenItem::item);
+    }
+
+    private static Stream<String> texts(final Collection<NodeId> nodes) {
+        return nodes.stream().map(NodeId::text);
+    }
+
+    private void addPlacement(final Map<String, Object> report) {
         final Leadership leadership = Leadership.of(node.items().get(ItemId.LEADERSHIP));
         report.put(
                 "tenure",
                 Map.of("holder", leadership.leader(), "term", leadership.term(), "free", leadership.released()));
-        report.put("planEpoch", node.configuration().plan().epoch());
-        final Map<String, Object> plan = new TreeMap<>();
-        for (int item = 0; item < node.configuration().plan().assignments().size(); item++) {
-            plan.put(
-                    String.valueOf(item),
-                    node.configuration().plan().assignments().get(item).owner() + " "
-                            + node.configuration()
-                                    .plan()
-                                    .assignments()
-                                    .get(item)
-                                    .token());
+        final PlacementPlan plan = node.configuration().plan();
+        report.put("planEpoch", plan.epoch());
+        final Map<String, Object> owners = new TreeMap<>();
+        for (int shard = 0; shard < plan.assignments().size(); shard++) {
+            final PlacementPlan.Assignment assignment = plan.assignments().get(shard);
+            owners.put(String.valueOf(shard), assignment.owner() + " " + assignment.token());
         }
-        report.put("plan", plan);
-        report.put("weights", node.configuration().plan().weights());
+        report.put("plan", owners);
+        report.put("weights", plan.weights());
+    }
+
+    /** By shard, its state and token; empty on nodes that hold none. */
+    private Map<String, Object> leases() {
         final Map<String, Object> leases = new TreeMap<>();
-        if (node.shield().isPresent()) {
-            node.leaseHolder()
-                    .leases()
-                    .forEach((shard, lease) ->
-                            leases.put(String.valueOf(shard), lease.state().code() + " " + lease.token()));
-        }
-        report.put("leases", leases);
+        node.shield()
+                .ifPresent(shield -> shield.leaseHolder()
+                        .leases()
+                        .forEach((shard, lease) ->
+                                leases.put(String.valueOf(shard), lease.state().code() + " " + lease.token())));
+        return leases;
+    }
+
+    private Map<String, Object> origins() {
         final Map<String, Object> origins = new TreeMap<>();
-        node.items().all().stream()
-                .map(ChosenItem::item)
-                .filter(item -> item.exists() && item.id().kind() == ItemKind.ORIGIN)
-                .forEach(item -> {
-                    final Origin origin = Json.read(item.body(), Origin.class);
-                    final long age = node.loop().now() - node.items().learnedAt(item.id());
-                    origins.put(
-                            item.id().name(),
-                            Map.of(
-                                    "service",
-                                    origin.service(),
-                                    "stamp",
-                                    origin.instance(),
-                                    "state",
-                                    origin.draining() ? "leaving" : age < origin.ttlMs() ? "live" : "stale"));
-                });
-        report.put("origins", origins);
-        if (node.leader().isPresent()) {
-            report.put("acting", node.election().isLeader());
-        }
+        items().filter(item -> item.exists() && item.id().kind() == ItemKind.ORIGIN)
+                .forEach(item -> origins.put(item.id().name(), origin(item)));
+        return origins;
+    }
+
+    private Map<String, Object> origin(final Item item) {
+        final Origin origin = Json.read(item.body(), Origin.class);
+        final long ageMs = node.loop().now() - node.items().learnedAt(item.id());
+        final String state = origin.draining() ? "leaving" : ageMs < origin.ttlMs() ? "live" : "stale";
+        return Map.of("service", origin.service(), "stamp", origin.instance(), "state", state);
+    }
+
+    private void addDuties(final Map<String, Object> report) {
+        node.leader().ifPresent(leader -> report.put("acting", leader.election().isLeader()));
         if (node.voter().isPresent()) {
             report.put("elector", voterState());
             report.put("keys", node.keyedRecords().size());
         }
-        report.put("epoch", node.votingConfiguration().epoch());
-        report.put(
-                "voters",
-                node.votingConfiguration().voters().stream().map(NodeId::text).toList());
+    }
+
+    private void addVoting(final Map<String, Object> report) {
+        final VotingConfiguration voting = node.votingConfiguration();
+        report.put("epoch", voting.epoch());
+        report.put("voters", texts(voting.voters()).toList());
         report.put("standbys", standbys());
-        return report;
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
@@ -3,7 +3,6 @@
 import java.nio.ByteBuffer;
 import java.util.Optional;
 import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
@@ -34,7 +33,7 @@
             send(res, done, ClientResponse.reject(413, "body over the limit", 0));
             return true;
         }
-        Content.Source.asByteArrayAsync(req, LIMIT).whenComplete((body, trouble) -> {
+        RequestBody.read(req, LIMIT).whenComplete((body, trouble) -> {
             if (trouble != null) {
                 send(res, done, ClientResponse.reject(413, "body over the limit or cut short", 0));
                 return;
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -9,7 +9,6 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.eclipse.jetty.http.HttpHeader;
-import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
@@ -51,7 +50,7 @@
 
     @Override
     public boolean handle(final Request httpRequest, final Response httpResponse, final Callback callback) {
-        Content.Source.asByteArrayAsync(httpRequest, MAX_BODY_BYTES).whenComplete((body, failure) -> {
+        RequestBody.read(httpRequest, MAX_BODY_BYTES).whenComplete((body, failure) -> {
             if (failure != null) {
                 respond(
                         httpResponse,
--- a/server/src/main/java/org/rowanvalve/server/origin/OriginHttpClient.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/OriginHttpClient.java
@@ -12,6 +12,7 @@
  * The HTTP client for origins: it sends what it is given, once, and gives back what came. It follows nothing, answers no
  * challenge, asks for no encoding and takes none off, and keeps no cookie.
  */
+@SuppressWarnings("try") // Jetty's client declares that its close() may be interrupted.
 public final class OriginHttpClient extends HttpClient {
     public OriginHttpClient(final ClientConnector connector) {
         super(new StrictHttpTransport(connector));
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -92,19 +92,49 @@
         this.startupTimer = startupTimer;
     }
 
+    /** Starts the process; returns once it takes requests. Each phase rests on the ones before it. */
     public void run() throws StorageException, IOException, InterruptedException {
-        final String boot = UUID.randomUUID().toString().substring(0, 8);
-        final ProcessModule module = new ProcessModule(options, boot, frontends.originProtocol());
+        final String incarnation = UUID.randomUUID().toString().substring(0, 8);
+        final ProcessModule module = new ProcessModule(options, incarnation, frontends.originProtocol());
         final ProcessComponent components =
                 DaggerProcessComponent.builder().processModule(module).build();
         final EventLog log = new EventLog(options.id().text(), options.jsonLog(), System.out);
         log.start(components.journal());
+        openStorage(components);
+        final OptionWatcher optionWatcher = new OptionWatcher(source, options, components.journal());
+        optionWatcher.start();
+        startTransport(components, optionWatcher);
+        final Options votersKnown = findVoters(module, components, optionWatcher);
+        final Node node = components.node();
+        startupTimer.end("node");
+        components.net().setHandler(node::handle);
+        if (options.role() == Role.SHIELD) {
+            start(components.client());
+        }
+        startupTimer.end("client");
+        startNode(components, node);
+        optionWatcher.listen(current -> components.loop().execute(() -> reloadSettings(current, node)));
+        startupTimer.end("begin");
+        final int warmedRequests = new WarmupRequests(options, frontends).run(components);
+        startupTimer.end("warmup");
+        openAddresses(new ProcessContext(components.loop(), node, components.net(), votersKnown));
+        startupTimer.end("http");
+        journalReady(components, warmedRequests);
+        if (options.role() == Role.EDGE) {
+            start(components.client());
+        }
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(components, log, optionWatcher), "stop"));
+    }
+
+    private void openStorage(final ProcessComponent components) throws StorageException, InterruptedException {
         if (components.disk() instanceof SqliteStorage sqlite) {
             sqlite.open(why -> components.journal().add(Event.of(EventCode.DISK_SLOW, "why", why)));
         }
         startupTimer.end("disk");
-        final OptionWatcher optionWatcher = new OptionWatcher(source, options, components.journal());
-        optionWatcher.start();
+    }
+
+    private void startTransport(final ProcessComponent components, final OptionWatcher optionWatcher)
+            throws IOException {
         if (!options.voterShortage().isEmpty()) {
             components.journal().add(Event.of(EventCode.SHORTAGE, "why", options.voterShortage()));
         }
@@ -117,6 +147,12 @@
         components.loop().start();
         startupTimer.end("wire");
         optionWatcher.listen(current -> updateAddresses(current, components.net()));
+    }
+
+    /** The options with the voters that this node goes by; waits until some node tells, where they are not known here. */
+    private Options findVoters(
+            final ProcessModule module, final ProcessComponent components, final OptionWatcher optionWatcher)
+            throws StorageException, InterruptedException {
         final VoterDiscovery discovery = new VoterDiscovery(
                 options,
                 components.loop(),
@@ -127,21 +163,10 @@
         module.setVoters(votersKnown, discovery.voters());
         votersKnown.knownAddresses().forEach(components.net()::learnAddress);
         startupTimer.end("seats");
-        final Node node = components.node();
-        startupTimer.end("node");
-        components.net().setHandler(node::handle);
-        final ProcessContext context = new ProcessContext(components.loop(), node, components.net(), votersKnown);
-        if (options.role() == Role.SHIELD) {
-            start(components.client());
-        }
-        startupTimer.end("client");
-        startNode(components, node);
-        optionWatcher.listen(current -> components.loop().execute(() -> reloadSettings(current, node)));
-        startupTimer.end("begin");
-        final int warmedRequests = new WarmupRequests(options, frontends).run(components);
-        startupTimer.end("warmup");
-        openAddresses(context);
-        startupTimer.end("http");
+        return votersKnown;
+    }
+
+    private void journalReady(final ProcessComponent components, final int warmedRequests) {
         components
                 .journal()
                 .add(Event.of(
@@ -154,10 +179,6 @@
                         startupTimer.toString(),
                         "rehearsed",
                         warmedRequests));
-        if (options.role() == Role.EDGE) {
-            start(components.client());
-        }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(components, log, optionWatcher), "stop"));
     }
 
     private static void start(final org.eclipse.jetty.client.HttpClient http) throws IOException {
--- a/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
@@ -180,8 +180,8 @@
                     final String id = asked.heads().get("id");
                     return write(to, whole(id, chunked) + (id.equals("a") ? surplus : ""));
                 })) {
-                    assertEquals("WHOLE 200 body of a", shown(ask(peer, "GET", "a")), surplus);
-                    assertEquals("WHOLE 200 body of b", shown(ask(peer, "POST", "b")), surplus);
+                    assertEquals("COMPLETE 200 body of a", shown(ask(peer, "GET", "a")), surplus);
+                    assertEquals("COMPLETE 200 body of b", shown(ask(peer, "POST", "b")), surplus);
                     assertEquals(
                             List.of(0, 1),
                             peer.asked().stream().map(RawPeer.Asked::connection).toList(),
@@ -198,8 +198,8 @@
             return write(to, whole(id.equals("a") ? "earlier" : id, false));
         })) {
             final OriginTransport.OriginResponse response = ask(peer, "POST", "a");
-            assertEquals("BAD another request's answer", response.result() + " " + response.reason());
-            assertEquals("WHOLE 200 body of b", shown(ask(peer, "POST", "b")));
+            assertEquals("INVALID another request's answer", response.result() + " " + response.reason());
+            assertEquals("COMPLETE 200 body of b", shown(ask(peer, "POST", "b")));
             assertEquals(1, peer.asked().get(1).connection());
         }
     }
@@ -216,13 +216,13 @@
         says.put("g", whole("g", false));
         try (RawPeer peer =
                 new RawPeer((asked, to) -> write(to, says.get(asked.heads().get("id"))))) {
-            assertEquals("WHOLE 200 body of a", shown(ask(peer, "GET", "a")));
-            assertEquals("WHOLE 200 body of b", shown(ask(peer, "GET", "b")));
-            assertEquals("WHOLE 204 ", shown(ask(peer, "GET", "c")));
-            assertEquals("WHOLE 304 ", shown(ask(peer, "GET", "d")));
-            assertEquals("WHOLE 401 no", shown(ask(peer, "GET", "e")));
-            assertEquals("WHOLE 302 ", shown(ask(peer, "GET", "f")));
-            assertEquals("WHOLE 200 body of g", shown(ask(peer, "GET", "g")));
+            assertEquals("COMPLETE 200 body of a", shown(ask(peer, "GET", "a")));
+            assertEquals("COMPLETE 200 body of b", shown(ask(peer, "GET", "b")));
+            assertEquals("COMPLETE 204 ", shown(ask(peer, "GET", "c")));
+            assertEquals("COMPLETE 304 ", shown(ask(peer, "GET", "d")));
+            assertEquals("COMPLETE 401 no", shown(ask(peer, "GET", "e")));
+            assertEquals("COMPLETE 302 ", shown(ask(peer, "GET", "f")));
+            assertEquals("COMPLETE 200 body of g", shown(ask(peer, "GET", "g")));
             assertEquals(7, peer.asked().size(), "each was sent once");
             assertEquals(0, peer.asked().get(6).connection(), "on one connection");
         }
@@ -299,7 +299,7 @@
                     final OriginTransport.OriginResponse response =
                             entry.getValue().get(30, TimeUnit.SECONDS);
                     if (response.result() == OriginTransport.ExchangeResult.COMPLETE) {
-                        assertEquals("WHOLE 200 " + body(entry.getKey()), shown(response), "seed " + seed);
+                        assertEquals("COMPLETE 200 " + body(entry.getKey()), shown(response), "seed " + seed);
                         whole++;
                     } else {
                         assertTrue(
--- a/server/src/test/java/org/rowanvalve/server/thread/ThreadGuardTest.java
+++ b/server/src/test/java/org/rowanvalve/server/thread/ThreadGuardTest.java
@@ -48,6 +48,7 @@
         loop.stop();
     }
 
+    @SuppressWarnings("InfiniteRecursion") // A stack that is too deep is what this brings about.
     private static int endless(final int n) {
         return endless(n + 1) + 1;
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -188,6 +188,7 @@
         return ok ? 0 : 1;
     }
 
+    @SuppressWarnings("try") // See Fleet.
     private static int fleet(final String what, final OptionSet options) throws Exception {
         final List<ValidationError> faults = new ArrayList<>();
         final long seed = Long.parseLong(((String) options.valueOf("seeds")).split("\\.\\.")[0]);
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/Fleet.java
@@ -19,6 +19,7 @@
 import org.rowanvalve.testkit.scenario.Deployment;
 
 /** A deployment's processes on one machine, with relays for links. Nothing is left behind when it closes. */
+@SuppressWarnings("try") // Ending processes may be interrupted; whoever closes a fleet passes that on.
 public final class Fleet implements AutoCloseable {
     private final Deployment deployment;
     private final Path dir;
--- a/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInHandler.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInHandler.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.http.HttpFields;
-import org.eclipse.jetty.io.Content;
 import org.eclipse.jetty.server.Handler;
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.control.json.Json;
+import org.rowanvalve.server.http.RequestBody;
 import org.rowanvalve.testkit.log.RunLog;
 
 /** A stand-in origin's HTTP side, keeping the origin contract unless told to break it. */
@@ -50,7 +50,7 @@
 
     @Override
     public boolean handle(final Request req, final Response res, final Callback done) {
-        Content.Source.asByteArrayAsync(req, 1 << 21).whenComplete((body, trouble) -> {
+        RequestBody.read(req, 1 << 21).whenComplete((body, trouble) -> {
             if (trouble != null) {
                 done.failed(trouble);
                 return;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
@@ -277,7 +277,7 @@
         final double bytes = region.stream()
                 .mapToDouble(h ->
                         MessageTally.less(two.counts().get(h.id()), one.counts().get(h.id())).entrySet().stream()
-                                .filter(entry -> entry.getKey().equals("in Give"))
+                                .filter(entry -> entry.getKey().equals("in MissingItemsResponse"))
                                 .mapToDouble(entry -> entry.getValue().bytes())
                                 .sum())
                 .sum();
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/FaultGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/FaultGenerator.java
@@ -23,6 +23,12 @@
         final List<String> from = Scenario.ORIGINS.contains(what) ? deployment.origins() : deployment.machines();
         final String one =
                 Scenario.DISKS.contains(what) ? disk(deployment, random) : from.get(random.nextInt(from.size()));
+        return drawMachineFault(deployment, random, what, one, at);
+    }
+
+    /** Of one machine, its clock, disk or links. */
+    private static Step drawMachineFault(
+            final Deployment deployment, final Random random, final String what, final String one, final long at) {
         return switch (what) {
             case "kill", "restart", "power", "ack-kill" ->
                 new Step(
@@ -32,8 +38,6 @@
                         1000 + random.nextInt(9000),
                         0,
                         calls(deployment, random, what));
-            case "ack-lost" ->
-                new Step(at, what, List.of(), 4000 + random.nextInt(6000), 0.7 + random.nextInt(21) / 100.0);
             case "clock-step" ->
                 new Step(
                         at,
@@ -44,6 +48,36 @@
                         Set.of(random.nextBoolean() ? "back" : "ahead"));
             case "disk-slow" -> new Step(at, what, List.of(one), 3000 + random.nextInt(5000), 30);
             case "reset-conns" -> new Step(at, what, some(deployment.machines(), random, 0.2), 0, 0.5);
+            case "lose-disk", "ack-lose" ->
+                new Step(
+                        at,
+                        what,
+                        List.of(deployment.shieldRun() && random.nextInt(3) == 0 ? "authority" : one),
+                        500 + random.nextInt(3000),
+                        0);
+            case "blackout" -> new Step(at, what, List.of(one), 1000 + random.nextInt(3000), 0);
+            case "drift" ->
+                new Step(at, what, List.of(one), 12_000 + random.nextInt(8000), random.nextBoolean() ? 0.8 : 1.25);
+            case "freeze" ->
+                new Step(at, what, List.of(one), 300 + random.nextInt(9000), 0, calls(deployment, random, what));
+            case "cut" ->
+                new Step(
+                        at,
+                        what,
+                        random.nextBoolean() ? List.of(one) : bearable(deployment, random),
+                        1000 + random.nextInt(9000),
+                        0,
+                        calls(deployment, random, what));
+            default -> drawControlFault(deployment, random, what, one, at);
+        };
+    }
+
+    /** Of the machines that count, at operators' answers, and planned work. */
+    private static Step drawControlFault(
+            final Deployment deployment, final Random random, final String what, final String one, final long at) {
+        return switch (what) {
+            case "ack-lost" ->
+                new Step(at, what, List.of(), 4000 + random.nextInt(6000), 0.7 + random.nextInt(21) / 100.0);
             case "core-cut" ->
                 new Step(
                         at,
@@ -82,26 +116,13 @@
             case "halves" -> new Step(at, what, List.of(), 1000 + random.nextInt(9000), 0);
             case "race" -> new Step(at, what, List.of(), 3000, 8);
             case "release" -> new Step(at, what, List.of(one), 8000, 0);
-            case "lose-disk", "ack-lose" ->
-                new Step(
-                        at,
-                        what,
-                        List.of(deployment.shieldRun() && random.nextInt(3) == 0 ? "authority" : one),
-                        500 + random.nextInt(3000),
-                        0);
-            case "blackout" -> new Step(at, what, List.of(one), 1000 + random.nextInt(3000), 0);
-            case "drift" ->
-                new Step(at, what, List.of(one), 12_000 + random.nextInt(8000), random.nextBoolean() ? 0.8 : 1.25);
-            case "freeze" ->
-                new Step(at, what, List.of(one), 300 + random.nextInt(9000), 0, calls(deployment, random, what));
-            case "cut" ->
-                new Step(
-                        at,
-                        what,
-                        random.nextBoolean() ? List.of(one) : bearable(deployment, random),
-                        1000 + random.nextInt(9000),
-                        0,
-                        calls(deployment, random, what));
+            default -> drawTrafficFault(random, what, one, at);
+        };
+    }
+
+    /** Of links, load and origins. */
+    private static Step drawTrafficFault(final Random random, final String what, final String one, final long at) {
+        return switch (what) {
             case "slow" -> new Step(at, what, List.of(), 4000, 30 + random.nextInt(150));
             case "loss" -> new Step(at, what, List.of(), 4000, 0.02 + random.nextInt(8) / 100.0);
             case "surge" -> new Step(at, what, List.of(), 5000, 2 + random.nextInt(2));
--- a/testkit/src/test/java/org/rowanvalve/testkit/JudgeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/JudgeTest.java
@@ -17,6 +17,7 @@
             op("put", 100, 110, "item", "SERVICE/s", "service", "s", "rate", 10.0, "version", 1);
 
     @SafeVarargs
+    @SuppressWarnings("varargs") // The array is only read.
     private static void rule(final int n, final List<Map<String, Object>> clean, final Map<String, Object>... worse) {
         final Judge good = new Judge(clean);
         assertTrue(good.rule(n).checked() > 0, "rule " + n + " was checked on nothing");
--- a/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/scale/ScaleTest.java
@@ -43,22 +43,22 @@
                                     herd.up(), MOST, h -> h.see(node -> node.status() == NodeStatus.READY, false))
                             >= 0,
                     "all are ready");
-            final Map<NodeId, MessageTally.Count> calm = counts(edges, "in Beaten");
+            final Map<NodeId, MessageTally.Count> calm = counts(edges, "in HeartbeatResponse");
             assertTrue(LightweightNodes.until(
                             edges,
                             MOST,
-                            h -> count(h, "in Beaten").frames()
+                            h -> count(h, "in HeartbeatResponse").frames()
                                     >= calm.get(h.id()).frames() + 12)
                     >= 0);
-            final Map<NodeId, MessageTally.Count> from = counts(edges, "in Beaten");
+            final Map<NodeId, MessageTally.Count> from = counts(edges, "in HeartbeatResponse");
             assertTrue(LightweightNodes.until(
                             edges,
                             MOST,
-                            h -> count(h, "in Beaten").frames()
+                            h -> count(h, "in HeartbeatResponse").frames()
                                     >= from.get(h.id()).frames() + 24)
                     >= 0);
             final MessageTally.Count beaten = edges.stream()
-                    .map(h -> count(h, "in Beaten").less(from.get(h.id())))
+                    .map(h -> count(h, "in HeartbeatResponse").less(from.get(h.id())))
                     .reduce(new MessageTally.Count(0, 0), MessageTally.Count::plus);
             assertTrue(
                     beaten.bytes() / beaten.frames() < 250,
@@ -73,16 +73,18 @@
         final Purge purge = new Purge(null, "/page", null, "shop.example", null);
         final String key = Json.write(purge);
         final LightweightNode door = edges.get(0);
-        final MessageTally.Count out = count(door, "out Learn");
+        final MessageTally.Count out = count(door, "out LearnNotification");
         herd.waves().begin(key, herd.up().stream().map(LightweightNode::id).toList());
         door.loop().execute(() -> door.node().updateService().purge(purge, said -> {}));
         assertTrue(
                 LightweightNodes.until(List.of(door), MOST, node -> herd.waves().done() == 1) >= 0,
                 "a purge everywhere");
         assertTrue(LightweightNodes.until(
-                        List.of(door), MOST, node -> count(node, "out Learn").frames() - out.frames() == SIZE - 1)
+                        List.of(door),
+                        MOST,
+                        node -> count(node, "out LearnNotification").frames() - out.frames() == SIZE - 1)
                 >= 0);
-        assertEquals(0, count(door, "in Ok").frames());
+        assertEquals(0, count(door, "in AckResponse").frames());
     }
 
     @Test
