--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
@@ -33,7 +33,7 @@
  */
 final class AcceptorHandover {
     private static final long RETRY_MS = 100;
-    private static final long TIMEOUT_MS = 500;
+    private static final long TIMEOUT_MILLIS = 500;
     private static final int PAGE_BYTES = 64 << 10;
     private final NodeId self;
     private final VotingConfiguration votingConfiguration;
@@ -239,7 +239,7 @@
 
         private void readRegisters(final NodeId source, final List<Long> checksums, final int fromBucket) {
             transport.request(
-                    source, new RegisterHandoverRequest(votingSet, checksums, fromBucket), TIMEOUT_MS, reply -> {
+                    source, new RegisterHandoverRequest(votingSet, checksums, fromBucket), TIMEOUT_MILLIS, reply -> {
                         final RegisterHandoverResponse response =
                                 reply.as(RegisterHandoverResponse.class).orElse(null);
                         if (response == null || !isCurrent()) {
@@ -258,17 +258,22 @@
 
         private void readRecords(
                 final NodeId source, final long sourceEpoch, final List<Long> checksums, final String afterKey) {
-            transport.request(source, new RecordHandoverRequest(votingSet, checksums, afterKey), TIMEOUT_MS, reply -> {
-                final RecordHandoverResponse response =
-                        reply.as(RecordHandoverResponse.class).orElse(null);
-                if (response == null || !isCurrent() || !recordHandover.mergePage(response)) {
-                    failed(source, reply);
-                } else if (response.page().nextKey() == null) {
-                    countSource(source, sourceEpoch);
-                } else {
-                    readRecords(source, sourceEpoch, checksums, response.page().nextKey());
-                }
-            });
+            transport.request(
+                    source, new RecordHandoverRequest(votingSet, checksums, afterKey), TIMEOUT_MILLIS, reply -> {
+                        final RecordHandoverResponse response =
+                                reply.as(RecordHandoverResponse.class).orElse(null);
+                        if (response == null || !isCurrent() || !recordHandover.mergePage(response)) {
+                            failed(source, reply);
+                        } else if (response.page().nextKey() == null) {
+                            countSource(source, sourceEpoch);
+                        } else {
+                            readRecords(
+                                    source,
+                                    sourceEpoch,
+                                    checksums,
+                                    response.page().nextKey());
+                        }
+                    });
         }
 
         /** {@code sourceEpoch}: the last epoch that the source has voted in. */
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
@@ -28,11 +28,11 @@
     private static final long MIN_AGE_MS = 700;
     private static final long FOUNDING_PATIENCE_MS = 2500;
     /** How long an answer without registers is waited for. */
-    private static final long SUMMARY_TIMEOUT_MS = 350;
+    private static final long SUMMARY_TIMEOUT_MILLIS = 350;
     /** How long one with all registers is waited for at first; each time twice as long as before, up to the longest. */
-    private static final long FIRST_TRANSFER_TIMEOUT_MS = 500;
+    private static final long FIRST_TRANSFER_TIMEOUT_MILLIS = 500;
 
-    private static final long LONGEST_TRANSFER_TIMEOUT_MS = 8000;
+    private static final long LONGEST_TRANSFER_TIMEOUT_MILLIS = 8000;
     /** Starts of askers that are remembered; one that is forgotten only has the floor raised once more. */
     private static final int REMEMBERED_REQUESTERS = 64;
 
@@ -53,7 +53,7 @@
     private long round;
     private long startedAt;
     private long readingUntil = Long.MIN_VALUE;
-    private long transferTimeoutMs = FIRST_TRANSFER_TIMEOUT_MS;
+    private long transferTimeoutMs = FIRST_TRANSFER_TIMEOUT_MILLIS;
 
     /** {@code isVoting}: whether this voter votes in the present epoch; {@code stateRebuilt}: run once its memory is rebuilt. */
     AcceptorStateRecovery(
@@ -144,10 +144,10 @@
 
     private void requestState(final boolean raiseFloor, final boolean onlyCopy, final long requestRound) {
         final Map<NodeId, StateTransferResponse> responses = new HashMap<>();
-        final long timeoutMs = raiseFloor ? transferTimeoutMs : SUMMARY_TIMEOUT_MS;
+        final long timeoutMs = raiseFloor ? transferTimeoutMs : SUMMARY_TIMEOUT_MILLIS;
         if (raiseFloor) {
             readingUntil = loop.now() + timeoutMs;
-            transferTimeoutMs = Math.min(LONGEST_TRANSFER_TIMEOUT_MS, 2 * transferTimeoutMs);
+            transferTimeoutMs = Math.min(LONGEST_TRANSFER_TIMEOUT_MILLIS, 2 * transferTimeoutMs);
         }
         for (final NodeId id : votingConfiguration.voters()) {
             if (!id.equals(self)) {
--- a/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
@@ -33,10 +33,10 @@
     public boolean isStalled() {
         final long now = loop.now();
         final boolean slow = !pendingWrites.isEmpty()
-                && now - pendingWrites.firstEntry().getValue() >= StoreHealth.SILENCE_TIMEOUT_MS;
+                && now - pendingWrites.firstEntry().getValue() >= StoreHealth.SILENCE_TIMEOUT_MILLIS;
         return slow
                 || failingSince >= 0
-                        && now - failingSince >= StoreHealth.SILENCE_TIMEOUT_MS
+                        && now - failingSince >= StoreHealth.SILENCE_TIMEOUT_MILLIS
                         && now - lastTriedAt < PROBE_INTERVAL_MS;
     }
 
--- a/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
@@ -293,7 +293,7 @@
                         600,
                         reply -> onAcceptResponse(voter, requestPhase, sentAt, item, reply));
             }
-            loop.schedule(StoreHealth.SILENCE_TIMEOUT_MS, () -> checkAccepted(requestPhase, sentAt, item));
+            loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, () -> checkAccepted(requestPhase, sentAt, item));
         }
 
         private void onAcceptResponse(
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -28,7 +28,7 @@
     static final int MAX_CONCURRENT_READS = 64;
 
     private static final long INTERVAL_MS = 50;
-    private static final long READ_TIMEOUT_MS = 700;
+    private static final long READ_TIMEOUT_MILLIS = 700;
     /** For so long after the start, items found on the disk are finished sooner than others. */
     private static final long STARTUP_MS = 4000;
 
@@ -66,7 +66,7 @@
                 acceptor::isVoting,
                 acceptor::registers,
                 items,
-                (id, done) -> proposer.read(id, READ_TIMEOUT_MS, r -> done.run()),
+                (id, done) -> proposer.read(id, READ_TIMEOUT_MILLIS, r -> done.run()),
                 loop,
                 random,
                 rank);
--- a/control/src/main/java/org/rowanvalve/control/membership/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/Membership.java
@@ -31,7 +31,7 @@
     private static final int EXTRA_SHIELDS = 3;
 
     private static final int FEW_SHIELDS = 8;
-    private static final long CONTACT_TIMEOUT_MS = 1000;
+    private static final long CONTACT_TIMEOUT_MILLIS = 1000;
     private final Supplier<Member> self;
     private final Supplier<List<NodeId>> voters;
     private final EventLoop loop;
@@ -86,7 +86,7 @@
 
     /** Whether a voter has answered a heartbeat of late. */
     public boolean hasVoterContact() {
-        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MS;
+        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MILLIS;
     }
 
     private void sendHeartbeats() {
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
@@ -26,8 +26,8 @@
 
 /** Takes what operators and origins state, at any node. */
 public final class ConfigurationService {
-    private static final long WRITE_TIMEOUT_MS = 2500;
-    private static final long CONTACT_TIMEOUT_MS = 700;
+    private static final long WRITE_TIMEOUT_MILLIS = 2500;
+    private static final long CONTACT_TIMEOUT_MILLIS = 700;
     private final EventLoop loop;
     private final ItemStore items;
     private final ViewSynchronizer view;
@@ -69,7 +69,7 @@
             accepted.accept(first.body());
             return;
         }
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MS, ok -> {
+        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
             final Validation again = check.get();
             if (!ok) {
                 callback.accept(unavailable());
@@ -85,7 +85,7 @@
     public void inContact(final Supplier<ApiResponse> read, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
-                    loop.now(), CONTACT_TIMEOUT_MS, ok -> callback.accept(ok ? read.get() : unavailable()));
+                    loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> callback.accept(ok ? read.get() : unavailable()));
         } else {
             callback.accept(unavailable());
         }
@@ -178,7 +178,7 @@
         proposer.propose(
                 id,
                 writeId,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 current -> {
                     final boolean fits = current.version().number() == expectedVersion
                             || current.deleted() && expectedVersion == 0
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
@@ -24,7 +24,7 @@
 
 /** Origins that announce themselves for a time to live: each announcement is checked and written as an item. */
 final class OriginAnnouncementWriter {
-    private static final long WRITE_TIMEOUT_MS = 2500;
+    private static final long WRITE_TIMEOUT_MILLIS = 2500;
     private final ItemStore items;
     private final Proposer proposer;
     private final EventJournal journal;
@@ -78,7 +78,7 @@
         proposer.propose(
                 id,
                 writeId,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 now -> {
                     final Origin standing = now.exists() ? Json.read(now.body(), Origin.class) : null;
                     final boolean endedBefore = standing != null
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
@@ -20,8 +20,8 @@
 
 /** Origins that beat: an item is written only when something about one changes, the beats themselves stay here. */
 public final class OriginRegistry {
-    private static final long WRITE_TIMEOUT_MS = 900;
-    private static final long CONTACT_TIMEOUT_MS = 700;
+    private static final long WRITE_TIMEOUT_MILLIS = 900;
+    private static final long CONTACT_TIMEOUT_MILLIS = 700;
     private static final long RETRY_AFTER_MS = 300;
     private final EventLoop loop;
     private final ItemStore items;
@@ -106,7 +106,7 @@
             callback.accept(unavailable("this node's frame is not confirmed"));
             return;
         }
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MS, ok -> {
+        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
             if (ok) {
                 action.run();
             } else {
@@ -129,7 +129,7 @@
         proposer.propose(
                 id,
                 writeId,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 current -> {
                     final Origin standing = current.exists() ? Json.read(current.body(), Origin.class) : null;
                     if (standing != null && (standing.sequence() >= announced.sequence() || standing.draining())) {
--- a/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
@@ -11,7 +11,7 @@
  */
 final class ResponseDeadline {
     /** Without contact there is an answer after so long. */
-    static final long CONTACT_TIMEOUT_MS = 780;
+    static final long CONTACT_TIMEOUT_MILLIS = 780;
 
     private ResponseDeadline() {}
 
@@ -30,7 +30,7 @@
             final EventLoop loop, final ViewSynchronizer view, final Supplier<T> late, final Consumer<T> back) {
         final long asked = loop.now();
         final Consumer<T> first = once(back);
-        loop.schedule(CONTACT_TIMEOUT_MS, () -> {
+        loop.schedule(CONTACT_TIMEOUT_MILLIS, () -> {
             if (view.confirmedAt() < asked) {
                 first.accept(late.get());
             }
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
@@ -21,7 +21,7 @@
  * is decided is decided by the ledger's ballots, and an item is only ever written as the ledger says.
  */
 final class UpdateSequencer {
-    private static final long WRITE_TIMEOUT_MS = 2500;
+    private static final long WRITE_TIMEOUT_MILLIS = 2500;
     /** A call that nobody has finished for so long is finished by another node. */
     private static final long TAKEOVER_MS = 500;
 
@@ -83,7 +83,7 @@
         proposer.propose(
                 ItemId.LEDGER,
                 writeId,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 now -> Optional.of(nextLedger(now, batch, writeId)),
                 result -> {
                     writing = false;
@@ -159,7 +159,7 @@
         writesInFlight.put(id, write);
         final String writeId = writeIds.get();
         proposer.propose(
-                id, writeId, WRITE_TIMEOUT_MS, now -> Optional.of(itemUpdate.appliedTo(now, writeId)), result -> {
+                id, writeId, WRITE_TIMEOUT_MILLIS, now -> Optional.of(itemUpdate.appliedTo(now, writeId)), result -> {
                     writesInFlight.remove(id, write);
                     write.waiters().forEach(w -> w.accept(result.isAccepted()));
                 });
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -34,10 +34,10 @@
  * answer rests on a majority that was asked after the order came in; without one it is 503, with when to come back.
  */
 public final class UpdateService {
-    private static final long WRITE_TIMEOUT_MS = 2500;
-    private static final long CONTACT_TIMEOUT_MS = 700;
+    private static final long WRITE_TIMEOUT_MILLIS = 2500;
+    private static final long CONTACT_TIMEOUT_MILLIS = 700;
     /** After so long without an answer from the preferred node a call is taken here, unless it is known as taken. */
-    private static final long FORWARD_TIMEOUT_MS = 500;
+    private static final long FORWARD_TIMEOUT_MILLIS = 500;
 
     private static final long RETRY_AFTER_MS = 500;
 
@@ -110,7 +110,7 @@
         if (view.isFresh()) {
             view.awaitConfirmation(
                     loop.now(),
-                    CONTACT_TIMEOUT_MS,
+                    CONTACT_TIMEOUT_MILLIS,
                     ok -> callback.accept(ok ? refusal : unavailable("no majority answered")));
         } else {
             callback.accept(unavailable("this node's frame is not confirmed"));
@@ -136,16 +136,16 @@
             local.run();
             return;
         }
-        loop.schedule(FORWARD_TIMEOUT_MS, () -> {
+        loop.schedule(FORWARD_TIMEOUT_MILLIS, () -> {
             if (!sequencer.isTaken(patch)) {
                 local.run();
             }
         });
-        loop.schedule(2 * FORWARD_TIMEOUT_MS, local);
+        loop.schedule(2 * FORWARD_TIMEOUT_MILLIS, local);
         transport.request(
                 sequencerNode.get(),
                 new UpdateForwardRequest(data),
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 reply -> reply.as(UpdateForwardResponse.class)
                         .map(UpdateService::toJudgement)
                         .filter(judgement -> judgement.verdict() != UpdateVerdict.UNDECIDED)
@@ -193,7 +193,7 @@
 
     /** What the call names may have been stated past the ledger, at another node: judged once more by a frame since. */
     private void recheckReferences(final ConfigurationUpdate patch, final Consumer<ApiResponse> callback) {
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MS, ok -> {
+        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
             if (!ok) {
                 callback.accept(unavailable("no majority answered"));
                 return;
@@ -223,7 +223,7 @@
         proposer.propose(
                 id,
                 writeId,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 now -> {
                     final Item next = now.successor(body, writeId);
                     return Optional.of(new Item(id, items.nextVersion(next), next.body(), false, writeId));
@@ -240,7 +240,7 @@
 
     /** All that stands, as of a moment after the question: nothing accepted before is missing. */
     public void readAll(final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
-        readAll(ResponseDeadline.CONTACT_TIMEOUT_MS, callback);
+        readAll(ResponseDeadline.CONTACT_TIMEOUT_MILLIS, callback);
     }
 
     public void readAll(final long timeoutMs, final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
--- a/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
+++ b/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
@@ -33,17 +33,17 @@
  */
 public final class VotingSetPlanner {
     /** A voter that is silent for so long is replaced. */
-    public static final long SILENCE_TIMEOUT_MS = 2500;
+    public static final long SILENCE_TIMEOUT_MILLIS = 2500;
 
     private static final long INTERVAL_MS = 100;
-    private static final long WRITE_TIMEOUT_MS = 1000;
-    private static final long STANDBY_TIMEOUT_MS = 800;
+    private static final long WRITE_TIMEOUT_MILLIS = 1000;
+    private static final long STANDBY_TIMEOUT_MILLIS = 800;
     /** How often the next standby is kept up to date. */
     private static final long STANDBY_REFRESH_MS = 2000;
     /** The least time between two changes that nothing presses for. */
     private static final long MIN_CHANGE_INTERVAL_MS = 2000;
     /** How long a change waits for voters that have not taken over yet. */
-    private static final long JOIN_TIMEOUT_MS = 3000;
+    private static final long JOIN_TIMEOUT_MILLIS = 3000;
     /** A standby has been heard for so long, and has not been silent for longer. */
     private static final long SETTLED_MS = 1000;
 
@@ -133,7 +133,7 @@
                     .ifPresent(standby -> transport.request(
                             standby,
                             new StandbyPrepareRequest(votingConfiguration.epoch()),
-                            STANDBY_TIMEOUT_MS,
+                            STANDBY_TIMEOUT_MILLIS,
                             reply -> votingConfiguration.isEpochMismatch(standby, reply)));
         }
     }
@@ -145,7 +145,7 @@
                 .toList();
         final List<NodeId> lost =
                 votingConfiguration.voters().stream().filter(this::isLost).toList();
-        if (loop.now() - lastChangeAt < JOIN_TIMEOUT_MS && !allJoined(leaving, lost)) {
+        if (loop.now() - lastChangeAt < JOIN_TIMEOUT_MILLIS && !allJoined(leaving, lost)) {
             return Optional.empty();
         }
         final List<NodeId> standbys = standbys();
@@ -193,7 +193,8 @@
             return false;
         }
         final long silence = membership.silenceMs(id);
-        return Math.min(silence, membership.get(id) == null ? loop.now() - electedAt : silence) >= SILENCE_TIMEOUT_MS;
+        return Math.min(silence, membership.get(id) == null ? loop.now() - electedAt : silence)
+                >= SILENCE_TIMEOUT_MILLIS;
     }
 
     private List<NodeId> standbys() {
@@ -225,7 +226,10 @@
             return;
         }
         transport.request(
-                change.added(), new StandbyPrepareRequest(votingConfiguration.epoch()), STANDBY_TIMEOUT_MS, reply -> {
+                change.added(),
+                new StandbyPrepareRequest(votingConfiguration.epoch()),
+                STANDBY_TIMEOUT_MILLIS,
+                reply -> {
                     votingConfiguration.isEpochMismatch(change.added(), reply);
                     if (reply.as(StandbyPrepareResponse.class)
                                     .filter(StandbyPrepareResponse::ready)
@@ -257,7 +261,7 @@
         proposer.propose(
                 ItemId.VOTERS,
                 tag,
-                WRITE_TIMEOUT_MS,
+                WRITE_TIMEOUT_MILLIS,
                 now -> now.version().number() == epoch ? Optional.of(now.successor(body, tag)) : Optional.empty(),
                 reply -> {
                     changing = false;
--- a/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
@@ -29,8 +29,8 @@
  * alone; a keeper that is slow waits behind the others. What has been taken is not asked for again.
  */
 final class RecordCopy {
-    private static final long FIRST_TIMEOUT_MS = 1000;
-    private static final long LONGEST_TIMEOUT_MS = 8000;
+    private static final long FIRST_TIMEOUT_MILLIS = 1000;
+    private static final long LONGEST_TIMEOUT_MILLIS = 8000;
     private static final long PAUSE_MS = 250;
     private static final long EMPTY_SOURCE_PAUSE_MS = 1000;
     private static final int FAILURES_BEFORE_SWITCH = 3;
@@ -76,7 +76,7 @@
         }
 
         long timeoutMs() {
-            return Math.min(LONGEST_TIMEOUT_MS, FIRST_TIMEOUT_MS << Math.min(failures, 3));
+            return Math.min(LONGEST_TIMEOUT_MILLIS, FIRST_TIMEOUT_MILLIS << Math.min(failures, 3));
         }
 
         long pauseMs() {
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
@@ -24,7 +24,7 @@
     /** For how long a standby counts as warm once it has copied what a voter holds. */
     private static final long WARM_MS = 3000;
 
-    private static final long STANDBY_TIMEOUT_MS = 500;
+    private static final long STANDBY_TIMEOUT_MILLIS = 500;
     private final NodeId self;
     private final String requester;
     private final VotingConfiguration votingConfiguration;
@@ -140,7 +140,7 @@
                             !copied.isEmpty() || votingConfiguration.quorum().isReadQuorum(withoutRecords),
                     this::onStandbyReady);
         }
-        loop.schedule(STANDBY_TIMEOUT_MS, () -> {
+        loop.schedule(STANDBY_TIMEOUT_MILLIS, () -> {
             if (waitingForStandby.remove(callback)) {
                 callback.accept(false);
             }
--- a/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
@@ -12,7 +12,7 @@
 
 /** Which stores are heard from: what is accepted stands at both, or at one once the other has been silent for a while. */
 public final class StoreHealth {
-    public static final long SILENCE_TIMEOUT_MS = 400;
+    public static final long SILENCE_TIMEOUT_MILLIS = 400;
     private final Set<NodeId> stores;
     private final EventJournal journal;
     private final EventLoop loop;
@@ -30,8 +30,8 @@
     public boolean allReachableSynced(final Set<NodeId> synced, final long waited) {
         stores.stream()
                 .filter(s -> !synced.contains(s)
-                        && (waited >= SILENCE_TIMEOUT_MS
-                                || loop.now() - firstMissedAt.getOrDefault(s, loop.now()) >= SILENCE_TIMEOUT_MS))
+                        && (waited >= SILENCE_TIMEOUT_MILLIS
+                                || loop.now() - firstMissedAt.getOrDefault(s, loop.now()) >= SILENCE_TIMEOUT_MILLIS))
                 .forEach(this::markSilent);
         return stores.stream().allMatch(s -> synced.contains(s) || silent.contains(s));
     }
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -31,8 +31,8 @@
 public final class KeyedRequests {
     private static final int ATTEMPT_BITS = 24;
     private static final long SWEEP_INTERVAL_MS = 10_000;
-    private static final long INTENT_TIMEOUT_MS = 1000;
-    private static final long OUTCOME_TIMEOUT_MS = 700;
+    private static final long INTENT_TIMEOUT_MILLIS = 1000;
+    private static final long OUTCOME_TIMEOUT_MILLIS = 700;
     private final VotingConfiguration votingConfiguration;
     private final EventLoop loop;
     private final Transport transport;
@@ -220,7 +220,7 @@
     private void recordIntent(final KeyedShard shard, final String key, final KeyedEntry entry, final Send sendAction) {
         entry.attemptId = attemptBase + ++attemptSerial;
         entry.foreignRecord = null;
-        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MS, ok -> {
+        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MILLIS, ok -> {
             if (entry.foreignRecord != null) {
                 yieldToForeign(shard, entry);
             } else if (!ok) {
@@ -265,7 +265,7 @@
                         keeper,
                         new RecordWriteRequest(
                                 epoch, keyedRecord, shard.reader().eraOf(keeper).orElse(0)),
-                        OUTCOME_TIMEOUT_MS,
+                        OUTCOME_TIMEOUT_MILLIS,
                         reply -> {}));
         entry.respond(response);
     }
@@ -280,7 +280,7 @@
             entry.notSent = false;
             entry.outcome = new KeyedOutcome(
                     originResponse.status(), EndToEndHeaders.of(originResponse.headers()), originResponse.body(), true);
-            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MS, ok -> {
+            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MILLIS, ok -> {
                 entry.inProgress = false;
                 entry.respond(completed(shard, entry.outcome));
             });
--- a/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
@@ -12,7 +12,7 @@
 
 /** Fetches one outcome with its body: the next keeper is asked when one has none, or is late. */
 final class OutcomeFetch {
-    private static final long TIMEOUT_MS = 1500;
+    private static final long TIMEOUT_MILLIS = 1500;
     private static final long HEDGE_DELAY_MS = 400;
     private final EventLoop loop;
     private final Transport transport;
@@ -47,7 +47,7 @@
             return;
         }
         keepersAsked++;
-        transport.request(keepers.get(index), new OutcomeRequest(key), TIMEOUT_MS, reply -> {
+        transport.request(keepers.get(index), new OutcomeRequest(key), TIMEOUT_MILLIS, reply -> {
             keepersAnswered++;
             final KeyedRecord keyedRecord = reply.as(OutcomeResponse.class)
                     .map(OutcomeResponse::keyedRecord)
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
@@ -27,7 +27,7 @@
  * what another has answered counts on. However many requests wait, one question to each keeper is open at most.
  */
 final class RecordReader {
-    private static final long FIRST_TIMEOUT_MS = 1000;
+    private static final long FIRST_TIMEOUT_MILLIS = 1000;
     private static final int TIMEOUT_DOUBLINGS = 3;
     private static final long FIRST_PAUSE_MS = 100;
     private static final long LONGEST_PAUSE_MS = 1000;
@@ -76,7 +76,7 @@
         }
 
         long timeoutMs() {
-            return FIRST_TIMEOUT_MS << Math.min(failures, TIMEOUT_DOUBLINGS);
+            return FIRST_TIMEOUT_MILLIS << Math.min(failures, TIMEOUT_DOUBLINGS);
         }
 
         long pauseMs() {
@@ -113,7 +113,7 @@
     void start() {
         if (!stopped) {
             readsByKeeper.forEach(this::requestPage);
-            loop.schedule(StoreHealth.SILENCE_TIMEOUT_MS, listener::onProgress);
+            loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, listener::onProgress);
         }
     }
 
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
@@ -83,7 +83,7 @@
                 staleKeepers.add(keeper);
             }
         });
-        loop.schedule(StoreHealth.SILENCE_TIMEOUT_MS, this::check);
+        loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, this::check);
         checkRepeatedly();
     }
 
--- a/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -18,9 +18,9 @@
     /** A leaving edge that still gets requests answers them: it ends once none has come for so long. */
     private static final long QUIET_MS = 250;
 
-    private static final long HANDOVER_TIMEOUT_MS = 2500;
+    private static final long HANDOVER_TIMEOUT_MILLIS = 2500;
     /** How long a leaving voter waits for its replacement. */
-    private static final long REPLACEMENT_TIMEOUT_MS = 3500;
+    private static final long REPLACEMENT_TIMEOUT_MILLIS = 3500;
 
     private final Node node;
     private final EventLoop loop;
@@ -95,7 +95,7 @@
         }
         return node.configuration().plan().assignments().stream()
                         .noneMatch(assignment -> assignment.owner().equals(self.text()))
-                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MS;
+                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MILLIS;
     }
 
     /** A voter stays until the set that no longer names it has taken over; without a standby it need not wait. */
@@ -108,7 +108,7 @@
         final boolean replacedByOther = !votingConfiguration.isVoter(self) && view.isConfirmedInEpoch();
         final boolean noStandby =
                 votingConfiguration.isVoter(self) && !hasStandby(votingConfiguration, node.membership());
-        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MS;
+        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MILLIS;
         if (finished && !outcomeJournaled) {
             outcomeJournaled = true;
             journal.add(Event.of(
--- a/data/src/main/java/org/rowanvalve/data/shield/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -40,7 +40,7 @@
     /** How long a keyed request waits at most for the keepers to be read. */
     private static final long KEYED_PATIENCE_MS = 1500;
     /** How long an edge has to say whether one more attempt may be made, in ms. */
-    private static final long GRANT_TIMEOUT_MS = 300;
+    private static final long GRANT_TIMEOUT_MILLIS = 300;
 
     private static final long LONGEST_PATIENCE_MS = 400;
 
@@ -131,7 +131,7 @@
                 callback -> transport.request(
                         from,
                         new AttemptGrantRequest(request.serial()),
-                        GRANT_TIMEOUT_MS,
+                        GRANT_TIMEOUT_MILLIS,
                         reply -> callback.accept(reply.as(AttemptGrantResponse.class)
                                 .map(AttemptGrantResponse::count)
                                 .orElse(0))));
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -30,7 +30,7 @@
 
 /** What operators, origins and the platform ask of any node. */
 public final class ControlApi extends Handler.Abstract {
-    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int BODY_LIMIT = 1 << 20;
     private final CoreEventLoop loop;
     private final Node node;
     private final Transport transport;
@@ -50,7 +50,7 @@
 
     @Override
     public boolean handle(final Request httpRequest, final Response httpResponse, final Callback callback) {
-        RequestBody.read(httpRequest, MAX_BODY_BYTES).whenComplete((body, failure) -> {
+        RequestBody.read(httpRequest, BODY_LIMIT).whenComplete((body, failure) -> {
             if (failure != null) {
                 respond(
                         httpResponse,
--- a/server/src/main/java/org/rowanvalve/server/net/PeerConnection.java
+++ b/server/src/main/java/org/rowanvalve/server/net/PeerConnection.java
@@ -11,9 +11,9 @@
 /** One TCP circuit between processes: frames are a length and a CBOR envelope. Wire thread only. */
 final class PeerConnection {
     /** How long a connect may take before another one is worth more than TCP's own repeats, which come after 1, 3 and 7 s. */
-    static final long CONNECT_TIMEOUT_MS = 300;
+    static final long CONNECT_TIMEOUT_MILLIS = 300;
     /** How long an ask may meet no byte at all from the peer before the next one takes another connection. */
-    static final long SILENCE_TIMEOUT_MS = 1000;
+    static final long SILENCE_TIMEOUT_MILLIS = 1000;
 
     private static final long NONE = -1;
     private static final int MAX_QUEUED_BYTES = 16 << 20;
@@ -55,8 +55,8 @@
     /** Whether the peer has left a connect, or an ask, without a sign for too long: what follows goes elsewhere. */
     boolean isUnresponsive(final long now) {
         return channel.isConnected()
-                ? unansweredSince != NONE && now - unansweredSince >= SILENCE_TIMEOUT_MS
-                : now - dialedAt >= CONNECT_TIMEOUT_MS;
+                ? unansweredSince != NONE && now - unansweredSince >= SILENCE_TIMEOUT_MILLIS
+                : now - dialedAt >= CONNECT_TIMEOUT_MILLIS;
     }
 
     boolean isConnected() {
--- a/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
@@ -24,7 +24,7 @@
 
 /** Circuits to origins over Jetty's client. Core thread only, but for Jetty's call-backs, which post. */
 public final class HttpOriginTransport implements OriginTransport {
-    private static final int MAX_BODY_BYTES = 4 << 20;
+    private static final int BODY_LIMIT = 4 << 20;
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD");
     private final EventLoop loop;
     private final HttpClient httpClient;
@@ -193,7 +193,7 @@
             }
             sent = true;
             sentAt = loop.now();
-            connection.send(result, new BufferingResponseListener(MAX_BODY_BYTES) {
+            connection.send(result, new BufferingResponseListener(BODY_LIMIT) {
                 @Override
                 public void onComplete(final Result res) {
                     final byte[] body = getContent() == null ? new byte[0] : getContent();
--- a/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
+++ b/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
@@ -2,19 +2,19 @@
 
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
+import sun.misc.Signal;
 
 /**
  * SIGHUP asks a process to read its options again. Without a handler the JVM takes it for a stop, so each program
  * calls {@link #install} before anything else; a signal that comes before anybody waits for it is kept.
  */
-@SuppressWarnings("sunapi") // The platform has no other way to handle a signal.
 public final class HangupSignal {
     private static final Semaphore RECEIVED = new Semaphore(0);
 
     private HangupSignal() {}
 
     public static void install() {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> RECEIVED.release());
+        Signal.handle(new Signal("HUP"), signal -> RECEIVED.release());
     }
 
     /** Waits for the next one; true when one came, and then all that came so far count as one. */
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -54,7 +54,7 @@
     private static final long MAX_SETUP_MS = 20_000;
 
     /** How long a rehearsed request may take, as its route and its caller say; on a busy machine the first ones do. */
-    private static final long REQUEST_TIMEOUT_MS = 1000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 1000;
 
     private final CountDownLatch finished = new CountDownLatch(1);
     private final CoreEventLoop loop = CoreEventLoop.skippingIdleTime(MAX_SETUP_MS, finished::countDown);
@@ -246,7 +246,7 @@
         for (int index = 0; index < rounds && remainingNanos() > 0; index++) {
             final CountDownLatch answered = new CountDownLatch(1);
             caller.call(requestOf(index), answered::countDown);
-            if (!answered.await(REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+            if (!answered.await(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 return completed;
             }
             completed++;
--- a/server/src/test/java/org/rowanvalve/server/net/SilentPeerTest.java
+++ b/server/src/test/java/org/rowanvalve/server/net/SilentPeerTest.java
@@ -92,7 +92,7 @@
         final CompletableFuture<Reply> first = ask(1);
         try (Socket silent = peer.accept()) {
             final MessageCodec.Frame early = read(silent);
-            now.addAndGet(PeerConnection.SILENCE_TIMEOUT_MS);
+            now.addAndGet(PeerConnection.SILENCE_TIMEOUT_MILLIS);
             final CompletableFuture<Reply> second = ask(2);
             try (Socket fresh = peer.accept()) {
                 final MessageCodec.Frame late = read(fresh);
@@ -115,7 +115,7 @@
             final CompletableFuture<Reply> second = ask(2);
             answer(s, read(s));
             assertEquals(new AckResponse(), of(second).message());
-            now.addAndGet(PeerConnection.SILENCE_TIMEOUT_MS);
+            now.addAndGet(PeerConnection.SILENCE_TIMEOUT_MILLIS);
             final CompletableFuture<Reply> third = ask(3);
             final MessageCodec.Frame late = read(s);
             assertEquals(new DigestRequest(0, 3), late.message());
@@ -133,7 +133,7 @@
             fill(crowd);
             final CompletableFuture<Reply> first = ask(1);
             of(ofLoop());
-            now.addAndGet(PeerConnection.CONNECT_TIMEOUT_MS);
+            now.addAndGet(PeerConnection.CONNECT_TIMEOUT_MILLIS);
             ask(2);
             assertEquals(Reply.Failure.NOT_SENT, of(first).failure());
         } finally {
--- a/server/src/test/java/org/rowanvalve/server/process/OptionWatcherTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/OptionWatcherTest.java
@@ -146,7 +146,7 @@
         assertEquals(
                 List.of(
                         "RV1006 changed options in force {changed=wanted-losses}",
-                        "RV1312 too few electors for the wanted losses {why=3 electors bear the loss of 1, not of 10}"),
+                        "RV1312 too few voters for the tolerated losses {why=3 electors bear the loss of 1, not of 10}"),
                 events());
         assertEquals(10, heard.get(1).toleratedLosses());
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -27,7 +27,7 @@
 /** The rig's command line: 0 all rules kept, 1 a rule broken or a trouble missed, 2 usage. */
 public final class TestKit {
     private static final String USAGE = """
-        rwrig COMMAND
+        rwtestkit COMMAND
           sim WHAT         WHAT: kilimanjaro, coastline, either with -shields, coastline-six (a day from the seed), or a scenario file
           pairs PLACE      every two troubles on top of each other, for each seed
           fleet WHAT       the same on processes; without --troubles a quiet day
@@ -65,7 +65,7 @@
         try {
             options = parser.parse(args);
         } catch (final OptionException e) {
-            System.err.println("rwrig: " + e.getMessage());
+            System.err.println("rwtestkit: " + e.getMessage());
             System.exit(2);
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     private static boolean bad(final List<ValidationError> faults) {
-        faults.forEach(error -> System.err.println("rwrig: " + error));
+        faults.forEach(error -> System.err.println("rwtestkit: " + error));
         return !faults.isEmpty();
     }
 
@@ -137,7 +137,7 @@
 
     private static int pairs(final String place, final OptionSet options) {
         if (!Deployment.NAMES.contains(place)) {
-            System.err.println("rwrig: argument 2: no deployment is named " + place);
+            System.err.println("rwtestkit: argument 2: no deployment is named " + place);
             return 2;
         }
         final String[] ends = ((String) options.valueOf("seeds")).split("\\.\\.");
@@ -202,12 +202,12 @@
             return 2;
         }
         final Path dir =
-                options.has("dir") ? Path.of((String) options.valueOf("dir")) : Files.createTempDirectory("rwrig");
+                options.has("dir") ? Path.of((String) options.valueOf("dir")) : Files.createTempDirectory("rwtestkit");
         final Path bin = Path.of(System.getProperty("rowanvalve.bin", "bin")).toAbsolutePath();
         final Path from =
                 options.has("from") ? Path.of((String) options.valueOf("from")).toAbsolutePath() : bin;
         if (!Files.isExecutable(from.resolve("rwstore"))) {
-            System.err.println("rwrig: --from: no programs in " + from);
+            System.err.println("rwtestkit: --from: no programs in " + from);
             return 2;
         }
         System.out.println("logs in " + dir);
@@ -220,7 +220,7 @@
     private static int scale(final String what, final OptionSet options) throws Exception {
         final List<Integer> sizes = ScaleRun.sizes(what);
         if (sizes.isEmpty()) {
-            System.err.println("rwrig: argument 2: sizes of 12 nodes and more are wanted, as 50,150: " + what);
+            System.err.println("rwtestkit: argument 2: sizes of 12 nodes and more are wanted, as 50,150: " + what);
             return 2;
         }
         final Path dir = options.has("dir") ? Path.of((String) options.valueOf("dir")) : Path.of("scale");
@@ -228,7 +228,7 @@
         final ScaleRun scale =
                 new ScaleRun(sizes, (Integer) options.valueOf("shards"), (Long) options.valueOf("seconds"), dir, bin);
         final List<String> lacks = scale.lacks();
-        lacks.forEach(l -> System.err.println("rwrig: " + l));
+        lacks.forEach(l -> System.err.println("rwtestkit: " + l));
         return lacks.isEmpty() ? scale.run() : 2;
     }
 
--- a/testkit/src/test/java/org/rowanvalve/testkit/PairsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PairsTest.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.testkit.scenario.ScenarioGenerator;
 import org.rowanvalve.testkit.sim.ScenarioRunner;
 
-/** Troubles on top of each other; {@code rwrig pairs} plays all of them. */
+/** Troubles on top of each other; {@code rwtestkit pairs} plays all of them. */
 class PairsTest {
     @ParameterizedTest
     @CsvSource({
--- a/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/Removals.java
@@ -222,13 +222,13 @@
             }
         }
         if (!faults.isEmpty()) {
-            faults.forEach(error -> System.err.println("rwremovals: " + error));
+            faults.forEach(error -> System.err.println("rwmutations: " + error));
             System.exit(2);
         }
         final List<Removal> list = args.length == 0
                 ? List.copyOf(all.values())
                 : Arrays.stream(args).map(all::get).toList();
-        final Path dir = Files.createTempDirectory("rwremovals");
+        final Path dir = Files.createTempDirectory("rwmutations");
         final Map<String, String> ends =
                 run(list, dir, Math.max(1, Runtime.getRuntime().availableProcessors() - 2));
         list.forEach(
--- a/testkit/src/test/java/org/rowanvalve/testkit/RemovalsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RemovalsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.rowanvalve.common.model.ValidationError;
 
-/** Each rule has a removal; all fit the source; the quick ones are taken out here, the rest by {@code bin/rwremovals}. */
+/** Each rule has a removal; all fit the source; the quick ones are taken out here, the rest by {@code bin/rwmutations}. */
 class RemovalsTest {
     private static final List<String> HERE =
             List.of("digest-not-compared", "pace-doubled", "grants-held-at-once", "old-intents-run");
