--- a/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
@@ -9,6 +9,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.approvaltests.Approvals;
@@ -76,6 +78,40 @@
                 String.join("\n", faults.stream().map(ValidationError::toString).toList()));
     }
 
+    private static Map<String, String> sources() throws IOException {
+        final Map<String, String> byName = new TreeMap<>();
+        try (var all = Files.walk(Path.of(".."))) {
+            for (final Path source : all.filter(
+                            f -> f.toString().endsWith(".java") && !f.toString().contains("target"))
+                    .toList()) {
+                byName.put(source.getFileName().toString().replace(".java", ""), Files.readString(source));
+            }
+        }
+        return byName;
+    }
+
+    /** In the pages that a newcomer reads first, each class and member that is named exists. */
+    @Test
+    void everyNameInTheArchitectureAndTheGlossaryExists() throws IOException {
+        final Map<String, String> sources = sources();
+        final List<String> missing = new ArrayList<>();
+        int seen = 0;
+        for (final String page : List.of("ARCHITECTURE.md", "GLOSSARY.md")) {
+            final Matcher matcher = Pattern.compile("`([A-Z][a-z]\\w+)(?:\\.(\\w+))?`")
+                    .matcher(Files.readString(DOCS.resolve(page)));
+            while (matcher.find()) {
+                seen++;
+                final String source = sources.get(matcher.group(1));
+                final String member = matcher.group(2);
+                if (source == null || member != null && !source.contains(member)) {
+                    missing.add(page + " " + matcher.group());
+                }
+            }
+        }
+        assertEquals(List.of(), missing);
+        assertTrue(seen > 100, seen + " names");
+    }
+
     /** Semicolons and opening braces, so that neither imports nor the length of names count. */
     private static long statements(final Path source) throws IOException {
         return Files.readAllLines(source).stream()
