--- a/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
@@ -97,8 +97,8 @@
         final List<String> missing = new ArrayList<>();
         int seen = 0;
         for (final String page : List.of("ARCHITECTURE.md", "GLOSSARY.md")) {
-            final Matcher matcher = Pattern.compile("`([A-Z][a-z]\\w+)(?:\\.(\\w+))?`")
-                    .matcher(Files.readString(DOCS.resolve(page)));
+            final Matcher matcher =
+                    Pattern.compile("`([A-Z][a-z]\\w+)(?:\\.(\\w+))?`").matcher(Files.readString(DOCS.resolve(page)));
             while (matcher.find()) {
                 seen++;
                 final String source = sources.get(matcher.group(1));
