--- a/common/src/main/java/org/rowanvalve/common/message/AcceptRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/AcceptRequest.java
@@ -5,7 +5,10 @@
 import org.rowanvalve.common.model.Ballot;
 import org.rowanvalve.common.model.Item;
 
-/** {@code nextBallot}: the ballot that whoever accepts promises at the same time, or none. */
+/**
+ * Phase two of a write: asks a voter to accept {@code item} under {@code ballot}. {@code nextBallot}: a ballot that the
+ * voter promises at the same time, so that the next write needs no prepare, or none.
+ */
 @JsonTypeName("Accept")
 public record AcceptRequest(
         long epoch,
--- a/common/src/main/java/org/rowanvalve/common/message/AttemptGrantRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/AttemptGrantRequest.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** Asked of the edge that sent the {@link Fill} of this serial: may one more origin get the request? */
+/** Asked of the edge that sent the {@link ForwardRequest} of this serial: may one more origin get the request? */
 @JsonTypeName("MoreAttempts")
 public record AttemptGrantRequest(long serial) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/ForwardRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardRequest.java
@@ -7,10 +7,10 @@
 import org.rowanvalve.common.model.VersionVector;
 
 /**
- * {@code requestId}: the caller's own name for this try; {@code passThrough}: to be passed through without the right to fill;
- * {@code retry}: another origin may have got this request before; {@code headers}: the caller's other headers;
- * {@code attempts}: to how many origins the receiver may send it, each further one being asked for by
- * {@link MoreAttempts}; a sender that states none leaves it to the route.
+ * An edge forwards a request to a shield. {@code requestId}: the client's own name for this attempt; {@code
+ * passThrough}: to be passed through without a lease; {@code retry}: another origin may have got this request before;
+ * {@code headers}: the client's other headers; {@code attempts}: to how many origins the receiver may send it, each
+ * further one being asked for by {@link AttemptGrantRequest}; a sender that states none leaves it to the route.
  */
 @JsonTypeName("Fill")
 public record ForwardRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
@@ -8,8 +8,8 @@
 import org.rowanvalve.common.model.VersionVector;
 
 /**
- * {@code service}: which one answered, where a route is split over several; {@code unusedAttempts}: of the attempts given, how
- * many were surely not made and never will be.
+ * The answer to a {@link ForwardRequest}. {@code service}: which one answered, where a route is split over several;
+ * {@code unusedAttempts}: of the attempts given, how many were surely not made and never will be.
  */
 @JsonTypeName("Filled")
 public record ForwardResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/HeartbeatRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/HeartbeatRequest.java
@@ -5,8 +5,8 @@
 import org.rowanvalve.common.model.Member;
 
 /**
- * {@code listId}, {@code sinceChange}: the seed's member list that this node has, and the last change in it; a node that states
- * none is told by {@code memberDigest}.
+ * A node reports that it is alive. {@code listId}, {@code sinceChange}: the member list of the asked voter that this
+ * node has, and the last change in it; a node that states none is answered by {@code memberDigest}.
  */
 @JsonTypeName("Beat")
 public record HeartbeatRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/HeartbeatResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/HeartbeatResponse.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * {@code reports}: to a node that stated no list. Else what changed in {@code listId} up to {@code lastChange}; by place the silence
- * of each member but edges in {@link #SILENCE_UNIT_MS} ms, rounded up, {@link #LOST_UNITS} where it is lost; and of edges only those that
- * are {@code edgeSilences}: the others have been silent for {@link #DEFAULT_EDGE_SILENCE_MS} at most, and are taken as that.
+ * {@code reports}: all members, for a node that stated no list. Else what changed in {@code listId} up to {@code
+ * lastChange}, and by place the silence of each member but edges in units of {@link #SILENCE_UNIT_MS} ms, rounded up,
+ * {@link #LOST_UNITS} for one that is lost; of edges only those in {@code edgeSilences}: all others were heard from
+ * within {@link #DEFAULT_EDGE_SILENCE_MS}.
  */
 @JsonTypeName("Beaten")
 public record HeartbeatResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/KeyedOutcome.java
+++ b/common/src/main/java/org/rowanvalve/common/message/KeyedOutcome.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Map;
 
-/** {@code complete}: heads and body are here; where it is false they have to be fetched from a keeper. */
+/**
+ * The answer that a keyed request got. {@code complete}: headers and body are here; else they have to be fetched from a
+ * replica.
+ */
 public record KeyedOutcome(
         int status,
         @JsonProperty("heads") Map<String, String> headers,
--- a/common/src/main/java/org/rowanvalve/common/message/KeyedRecord.java
+++ b/common/src/main/java/org/rowanvalve/common/message/KeyedRecord.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import org.rowanvalve.common.model.FencingToken;
 
-/** {@code attemptId} names one try of one process; {@code notSent}: nothing of that try has left for an origin. */
+/**
+ * The record of one keyed request: an intent, or an outcome. {@code attemptId} names one attempt of one process; {@code
+ * notSent}: nothing of that attempt was sent to an origin.
+ */
 public record KeyedRecord(
         String key,
         int shard,
@@ -33,7 +36,7 @@
                         KeyedOutcome.bodyElsewhere(outcome.status()));
     }
 
-    /** What stands at one keeper once this note has come to it. */
+    /** What one replica stores once this record has come to it. */
     public KeyedRecord mergedOver(final KeyedRecord stored) {
         if (stored == null || outcome != null) {
             return this;
@@ -47,7 +50,7 @@
                 : this;
     }
 
-    /** What several keepers' notes of one key come to: a try counts as clear only if no other try stands beside it. */
+    /** Merges several replicas' records of one key: an attempt counts as not sent only if no other attempt is known. */
     public static KeyedRecord resolve(final Collection<KeyedRecord> all) {
         final KeyedRecord top =
                 all.stream().max(Comparator.comparing(KeyedRecord::token)).orElseThrow();
--- a/common/src/main/java/org/rowanvalve/common/message/LeaseRenewRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LeaseRenewRequest.java
@@ -4,7 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 
-/** {@code weightsSerial}: of the weights this holder goes by; {@code demand}: sends it wanted to make since the last one. */
+/**
+ * A holder asks to renew its leases. {@code weightsSerial}: of the rate limit shares that it goes by; {@code demand}:
+ * the requests to origins that it wanted to send since the last renewal.
+ */
 @JsonTypeName("Renew")
 public record LeaseRenewRequest(
         long term,
--- a/common/src/main/java/org/rowanvalve/common/message/Message.java
+++ b/common/src/main/java/org/rowanvalve/common/message/Message.java
@@ -1,6 +1,6 @@
 package org.rowanvalve.common.message;
 
-/** All that processes say to each other. Unknown members are ignored, unknown types end the connection. */
+/** A message between processes. Unknown members are ignored; an unknown type ends the connection. */
 public sealed interface Message
         permits AcceptRequest,
                 AcceptResponse,
--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -18,7 +18,7 @@
 
     private MessageCodec() {}
 
-    /** One frame: the format's version, the message's id, and the id of the message that it answers. */
+    /** The envelope of a message: version of the format, id of the message, id of the message that it answers. */
     public record Frame(
             @JsonProperty("v") int version,
             long id,
--- a/common/src/main/java/org/rowanvalve/common/message/MissingItemsRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MissingItemsRequest.java
@@ -7,6 +7,7 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.Version;
 
+/** Asks for the chosen items of {@code buckets} that are newer than the sender's {@code versions}. */
 @JsonTypeName("Vers")
 public record MissingItemsRequest(
         long epoch,
--- a/common/src/main/java/org/rowanvalve/common/message/MissingItemsResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MissingItemsResponse.java
@@ -5,6 +5,10 @@
 import java.util.List;
 import org.rowanvalve.common.model.ItemId;
 
+/**
+ * {@code items}: chosen items that the sender lacked; {@code complete}: whether these are all; {@code wanted}: items
+ * that the voter lacks itself and asks to be sent.
+ */
 @JsonTypeName("Give")
 public record MissingItemsResponse(
         @JsonProperty("list") List<ChosenItem> items,
--- a/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsRequest.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** A keeper asks another for the sums of its cells; with {@code endEra} that one's era ends once for each {@code requester}. */
+/**
+ * One replica asks another for the checksums of its buckets; with {@code endEra} the era of the asked one ends, once
+ * for each {@code requester}.
+ */
 @JsonTypeName("KeepSums")
 public record RecordChecksumsRequest(
         long epoch,
--- a/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsResponse.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import org.rowanvalve.common.model.FencingToken;
 
-/** {@code complete}: this keeper has its memory; {@code tokenFloors}: by shard the highest token it was read with. */
+/**
+ * {@code complete}: whether this replica lacks none of its records; {@code tokenFloors}: by shard the highest token
+ * that it was read with.
+ */
 @JsonTypeName("KeptSums")
 public record RecordChecksumsResponse(
         @JsonProperty("ok") boolean complete,
--- a/common/src/main/java/org/rowanvalve/common/message/RecordHandoverRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordHandoverRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The same for records of keyed requests: those of the cells whose {@code checksums} differ, from behind the key {@code
- * after} on; answered by a page of {@link HandedRecords}.
+ * Like {@link RegisterHandoverRequest} for records of keyed requests: those of the buckets whose {@code checksums}
+ * differ, after the key {@code afterKey}; answered by one page.
  */
 @JsonTypeName("HandoverRecords")
 public record RecordHandoverRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordPageRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordPageRequest.java
@@ -4,7 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 
-/** Records of the named cells, in order of cell and key, from behind the key {@code afterKey} of the first cell. */
+/**
+ * Asks for records of the named buckets, in order of bucket and key, after the key {@code afterKey} of the first
+ * bucket.
+ */
 @JsonTypeName("KeepCells")
 public record RecordPageRequest(
         long epoch,
--- a/common/src/main/java/org/rowanvalve/common/message/RecordReadRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordReadRequest.java
@@ -5,8 +5,9 @@
 import org.rowanvalve.common.model.FencingToken;
 
 /**
- * A holder reads a shard's records. {@code paged}: without bodies, in pages; else all in one answer, without outcomes.
- * {@code afterKey}, {@code era}: the last key of the page before and the era it was given in; no key for the first page.
+ * A new holder reads the records of a shard. {@code paged}: without bodies, in pages; else all in one answer, without
+ * outcomes. {@code afterKey}, {@code era}: the last key of the page before and the era it was given in; no key for the
+ * first page.
  */
 @JsonTypeName("KeepRead")
 public record RecordReadRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordReadResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordReadResponse.java
@@ -6,8 +6,9 @@
 import org.rowanvalve.common.model.FencingToken;
 
 /**
- * {@code highestToken}: the highest token this keeper was read with, above the asker's where that is barred; {@code nextKey}: what
- * to ask the next page with, or none after the last. A keeper in a lapse gives no notes.
+ * {@code highestToken}: the highest token that this replica was read with, above that of the request where the read is
+ * refused; {@code nextKey}: what to ask the next page with, or none after the last. A replica that lost records gives
+ * none.
  */
 @JsonTypeName("Kept")
 public record RecordReadResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * To a voter of the earlier set, from one of {@code votingSet}, the chosen later set: what stands in the registers of the
- * cells from {@code fromBucket} on whose {@code checksums} differ. Whoever is asked seals its epoch first.
+ * To a voter of the earlier voting set, from one of {@code votingSet}, the chosen later one: asks for the registers of
+ * the buckets from {@code fromBucket} on whose {@code checksums} differ. The asked voter seals its epoch first.
  */
 @JsonTypeName("Handover")
 public record RegisterHandoverRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverResponse.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import org.rowanvalve.common.model.NodeId;
 
-/** {@code epoch}: the last one the answering voter voted in; {@code nextBucket}: the first cell of the next page. */
+/**
+ * A page of registers. {@code epoch}: the last one that the answering voter voted in; {@code nextBucket}: the first
+ * bucket of the next page.
+ */
 @JsonTypeName("HandedOver")
 public record RegisterHandoverResponse(
         long epoch,
--- a/common/src/main/java/org/rowanvalve/common/message/RejectedResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RejectedResponse.java
@@ -3,9 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
+/** The request was understood and refused, for a reason in plain text. */
 @JsonTypeName("Nay")
 public record RejectedResponse(@JsonProperty("why") String reason) implements Message {
-    /** A store's own word that its disk has been stalled or failing for the stated time. */
+    /** The reason of a voter whose disk has been stalled or failing for the stated time. */
     public static final String STORAGE_UNAVAILABLE = "disk";
 
     public static boolean isStorageUnavailable(final Reply reply) {
--- a/common/src/main/java/org/rowanvalve/common/message/Reply.java
+++ b/common/src/main/java/org/rowanvalve/common/message/Reply.java
@@ -4,7 +4,7 @@
 
 /** The answer to a request between processes, or the reason why there is none. */
 public record Reply(Message message, Failure failure) {
-    /** Why there is no answer: {@code NOT_SENT} is a promise that no byte of the request has left. */
+    /** Why there is no response: {@code NOT_SENT} promises that no byte of the request was sent. */
     public enum Failure {
         NONE,
         NOT_SENT,
@@ -19,6 +19,7 @@
         return new Reply(null, why);
     }
 
+    /** The response where there is one of this type; empty for another type or a failure. */
     public <T extends Message> Optional<T> as(final Class<T> type) {
         return type.isInstance(message) ? Optional.of(type.cast(message)) : Optional.empty();
     }
--- a/common/src/main/java/org/rowanvalve/common/message/StateTransferResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/StateTransferResponse.java
@@ -6,6 +6,11 @@
 import java.util.Map;
 import org.rowanvalve.common.model.NodeId;
 
+/**
+ * {@code hasState}: whether this voter has its state; {@code incarnation}: its own start, empty where it would not
+ * found a network; {@code founders}: the starts that founded the network; {@code resumptions}: how often its state was
+ * the only copy left; {@code ageMs}: time since it started.
+ */
 @JsonTypeName("Memory")
 public record StateTransferResponse(
         @JsonProperty("has") boolean hasState,
--- a/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.model.ValidationError;
 
-/** What became of it; {@code item} and {@code version} name the conflict, where there is one. */
+/** What the update came to; {@code item} and {@code version} name the conflict, where there is one. */
 @JsonTypeName("Ordered")
 public record UpdateForwardResponse(
         UpdateVerdict verdict,
--- a/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
+++ b/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
@@ -1,6 +1,9 @@
 package org.rowanvalve.common.model;
 
-/** A fencing token: the term of the authority that gave it, and a count within the plan. */
+/**
+ * A fencing token: the term of the leader that granted it, and a count within the placement plan. A request with a
+ * token below one already seen for the shard is rejected.
+ */
 public record FencingToken(long term, long count) implements Comparable<FencingToken> {
     public static final FencingToken ZERO = new FencingToken(0, 0);
 
--- a/common/src/main/java/org/rowanvalve/common/model/ItemId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemId.java
@@ -10,7 +10,7 @@
     /** Its version is the epoch of the voting set that it names. */
     public static final ItemId VOTERS = new ItemId(ItemKind.VOTERS, "voters");
 
-    /** Decides operators' calls. */
+    /** The register that decides operators' updates. */
     public static final ItemId LEDGER = new ItemId(ItemKind.LEDGER, "orders");
 
     @JsonCreator
--- a/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
@@ -13,7 +13,7 @@
     LEADERSHIP("TENURE"),
     COLLECTION("SWEEP"),
     LIMIT("LIMIT"),
-    /** Which number of each item was taken with which body; written by the order sequencer only. */
+    /** Which version of each item was taken with which body; written by the update sequencer only. */
     LEDGER("LEDGER"),
     VOTERS("VOTERS");
 
--- a/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
+++ b/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
@@ -1,6 +1,9 @@
 package org.rowanvalve.common.model;
 
-/** D, M, the greatest age of a frame, and the beats derived from them, in milliseconds. */
+/**
+ * The time-outs of leases and of the view, in ms: D ({@code leaseMs}), M ({@code marginMs}), and the intervals derived
+ * from them.
+ */
 public record LeaseTimings(long leaseMs, long marginMs, long maxViewAgeMs) {
     public static final LeaseTimings DEFAULT = new LeaseTimings(3000, 1000);
 
@@ -27,15 +30,19 @@
         return leaseMs / 3;
     }
 
+    /**
+     * The end of a lease for its holder, whose answered renewal was sent at {@code sentAt}, in ms of the same clock.
+     */
     public long validUntil(final long sentAt) {
         return sentAt + leaseMs - marginMs;
     }
 
+    /** When a lease granted at {@code grantedAt} may be granted to another holder, in ms of the same clock. */
     public long regrantTime(final long grantedAt) {
         return grantedAt + leaseMs + 2 * marginMs;
     }
 
-    /** Tenure is a lease of its own: how long one renewal lasts, and the margin within it. */
+    /** Leadership is a lease of its own: how long one renewal lasts, and the margin within it. */
     public long leadershipLeaseMs() {
         return 1600;
     }
@@ -48,6 +55,7 @@
         return 500;
     }
 
+    /** Silence after which a node counts as down. */
     public long failureTimeoutMs() {
         return 2000;
     }
--- a/common/src/main/java/org/rowanvalve/common/runtime/Transport.java
+++ b/common/src/main/java/org/rowanvalve/common/runtime/Transport.java
@@ -8,9 +8,13 @@
 
 /** The transport between processes: requests that are answered, and one-way messages. */
 public interface Transport {
+    /**
+     * Sends a request. {@code then} gets the response, or the reason why there is none, once, at the latest after
+     * {@code wait} ms, in the event loop.
+     */
     void request(NodeId recipient, Message msg, long wait, Consumer<Reply> then);
 
-    /** One-way: nothing is heard of it, and it may be lost. */
+    /** One-way: it may be lost without notice. */
     default void send(final NodeId recipient, final Message msg) {
         request(recipient, msg, 300, reply -> {});
     }
--- a/control/src/main/java/org/rowanvalve/control/config/Configuration.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Configuration.java
@@ -13,7 +13,10 @@
 import org.rowanvalve.control.json.JsonReader;
 import org.rowanvalve.control.store.ItemStore;
 
-/** What operators state, as far as it could be read; {@link #checkReferences} adds what does not fit together. */
+/**
+ * A declared configuration, as far as it could be read; {@link #checkReferences} adds the references that do not
+ * resolve.
+ */
 public final class Configuration {
     private static final String NAME = "[a-z0-9][a-z0-9._-]{0,60}";
     private final Map<String, Service> services = new TreeMap<>();
--- a/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
@@ -16,7 +16,7 @@
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.control.store.ItemStore;
 
-/** What the held items mean to traffic, folded anew after each change. */
+/** What the chosen items mean for requests: routes, services, purges and origins, built anew after each change. */
 public final class ConfigurationView {
     private final ItemStore items;
     private final List<ConfiguredRoute> routesByPrecedence = new ArrayList<>();
@@ -88,14 +88,14 @@
         return purge.isHostOrTag();
     }
 
-    /** A dropped purge of a host's path or of a tag goes by its name, since its body is gone too. */
+    /** A dropped purge of a host's path or of a tag is found by its name, since its body is gone too. */
     private void removePurge(final Item item) {
         final String key = "p/" + item.id().name();
         hostPathPurges.values().removeIf(m -> m.remove(key) != null && m.isEmpty());
         tagPurges.values().removeIf(t -> items.collectionFloor().covers(item.id(), t.version()));
     }
 
-    /** A deleted purge keeps its body: a copy older than it must not come back to life. */
+    /** A deleted purge keeps its body: a copy older than it must not become valid again. */
     private void onPurge(final Item item) {
         if (recordHostOrTagPurge(item)) {
             return;
@@ -172,7 +172,7 @@
         return tagPurges.getOrDefault(tag, new TagPurge(0, Long.MIN_VALUE / 2));
     }
 
-    /** Whether no tag in a mark has been purged since. */
+    /** Whether no tag of a version vector has been purged since. */
     public boolean areTagsCurrent(final Map<String, Long> marked) {
         return marked.entrySet().stream()
                 .allMatch(entry -> tagPurge(entry.getKey()).version() <= entry.getValue());
@@ -231,7 +231,7 @@
         return new VersionVector(vers);
     }
 
-    /** Announced, not leaving, and heard of within its time to live. */
+    /** Origins that are announced, not leaving, and heard from within their time to live. */
     public Map<ItemId, Origin> liveOrigins(final String service, final long now) {
         final Map<ItemId, Origin> map = new TreeMap<>();
         origins.forEach((id, origin) -> {
--- a/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** {@code service} is empty where none stands; such a route takes its paths and serves none of them. */
+/**
+ * A route with the service it leads to. {@code service} is empty where there is none; such a route matches its paths
+ * and serves none of them.
+ */
 public record ConfiguredRoute(String name, Route route, Service service, Optional<RouteCondition> condition) {
     public boolean isUsable() {
         return service != null && !(route.hasMode(RouteMode.KEYED) && service.isContent());
--- a/control/src/main/java/org/rowanvalve/control/config/Origin.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Origin.java
@@ -3,8 +3,9 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * {@code location}: its zone; {@code slots}: requests that it works on at once, 0 where it does not say; {@code warmUpMs}: how
- * much longer it was slow from its start when it said so; {@code ttlMs}: 0 where its beats are counted elsewhere.
+ * An origin as it announced itself. {@code location}: its zone; {@code slots}: requests that it works on at once, 0
+ * where it does not say; {@code warmUpMs}: how much longer it was slow after its start when it said so; {@code ttlMs}:
+ * 0 where its heartbeats are counted elsewhere.
  */
 public record Origin(
         String service,
@@ -37,7 +38,7 @@
         this(service, host, port, instance, kind, load, ttlMs, draining, sequence, "", 0, 0);
     }
 
-    /** One that beats, of a service whose kind is open. */
+    /** An origin that sends heartbeats, of a service whose kind is open. */
     public static Origin heartbeating(
             final String service,
             final String host,
@@ -51,7 +52,7 @@
         return new Origin(service, host, port, stamp, ServiceKind.OPEN, 0, 0, leaving, beat, cell, slots, coldMs);
     }
 
-    /** The same origin once it has ended: no later beat passes this one. */
+    /** The same origin after its end: no later heartbeat replaces this state. */
     public Origin ended() {
         return new Origin(service, host, port, instance, kind, load, ttlMs, true, Long.MAX_VALUE, location, slots, 0);
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
@@ -33,8 +33,8 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * One voter over all registers, or a standby that may become one. It answers only in the present epoch, and only with a
- * memory that holds all it ever answered there.
+ * One voter over all registers, or a standby that may become one. It answers only in the present epoch of the voting
+ * set, and only with a state that holds all it ever answered in that epoch; else two majorities could miss each other.
  */
 public final class Acceptor {
     private static final long RETRY_MS = 400;
@@ -83,6 +83,7 @@
                 new AcceptorHandover(self, votingConfiguration, state, loop, transport, journal, this::onJoined);
     }
 
+    /** Reads the state from disk; fails where it cannot be read. */
     public void start() throws StorageException {
         recovery.start();
         final ChosenItem set = state.load();
@@ -102,7 +103,7 @@
         tick();
     }
 
-    /** The present set has changed. */
+    /** Called when the voting set has changed. */
     private void onVotingSetChange() {
         journal.add(Event.of(
                 EventCode.VOTERS_SET,
@@ -122,7 +123,7 @@
         loop.schedule(RETRY_MS, this::tick);
     }
 
-    /** A voter that can't vote yet reads the earlier set, or the others of its own where its memory was lost. */
+    /** A voter that cannot vote yet reads the earlier set, or, where its state was lost, the others of its own set. */
     private void catchUp() {
         if (isVoting() || !votingConfiguration.isVoter(self)) {
             return;
@@ -143,7 +144,10 @@
         stateRebuilt.run();
     }
 
-    /** Run once a lost memory is rebuilt: what the node has learned meanwhile is not in what was read from others. */
+    /**
+     * Sets what runs once a lost state is rebuilt: what the node has learned meanwhile is not in what was read from
+     * others.
+     */
     public void onStateRebuilt(final Runnable job) {
         stateRebuilt = job;
     }
@@ -158,6 +162,7 @@
         recovery.recordHandover(store);
     }
 
+    /** Whether this voter lacks none of the state that it once had. */
     public boolean hasState() {
         return state.complete();
     }
@@ -167,7 +172,7 @@
         return state.complete() && state.epoch() == votingConfiguration.epoch() && votingConfiguration.isVoter(self);
     }
 
-    /** Why a question of this epoch isn't answered here; empty where it is. */
+    /** Why a request of this epoch is not answered here; empty where it is. */
     public Optional<Message> rejection(final long epoch) {
         if (epoch != votingConfiguration.epoch()) {
             return Optional.of(votingConfiguration.epochMismatch());
@@ -177,7 +182,7 @@
                 : Optional.of(new RejectedResponse(state.complete() ? "not voting" : "amnesia"));
     }
 
-    /** How often this memory, or the one it was rebuilt from, was the only one left. */
+    /** How often this state, or the one it was rebuilt from, was the only copy left. */
     public long resumptions() {
         return state.resumptions();
     }
@@ -194,6 +199,7 @@
         return state.register(id).item().version();
     }
 
+    /** Phase one of a write; the response leaves once the promise is synced. */
     public void prepare(final PrepareRequest request, final Consumer<Message> callback) {
         final Optional<Message> refusal = rejection(request.epoch());
         if (refusal.isPresent()) {
@@ -218,6 +224,7 @@
                         new PrepareResponse(true, request.ballot(), updated.acceptedBallot(), updated.item())));
     }
 
+    /** Phase two of a write; the response leaves once the value is synced. */
     public void accept(final AcceptRequest request, final Consumer<Message> callback) {
         final Optional<Message> refusal = rejection(request.epoch());
         if (refusal.isPresent()) {
@@ -242,7 +249,10 @@
         state.save(updated, () -> callback.accept(new AcceptResponse(true, updated.promisedBallot())));
     }
 
-    /** Slots of dropped items go; the floor keeps all that was promised or accepted for them from coming back. */
+    /**
+     * Drops the registers of collected items; the ballot floor keeps what was promised or accepted for them from coming
+     * back.
+     */
     public void collect(final CollectionFloor sweep) {
         final List<Register> dead = !state.complete() || state.isStalled()
                 ? List.of()
@@ -258,7 +268,7 @@
         }
     }
 
-    /** A chosen value is a fact: whoever prepares above its ballot hears of it from a majority anyway. */
+    /** A chosen value may be stored at any time: whoever prepares above its ballot reads it from a majority anyway. */
     public void learn(final ChosenItem chosen) {
         if (isVoting() && merge(chosen)) {
             state.save(state.register(chosen.item().id()), () -> {});
@@ -277,6 +287,7 @@
         return news;
     }
 
+    /** Answers a voter of the same epoch that lost its state. */
     public void transferState(final NodeId from, final StateTransferRequest request, final Consumer<Message> callback) {
         if (request.epoch() != votingConfiguration.epoch()) {
             callback.accept(votingConfiguration.epochMismatch());
@@ -295,7 +306,9 @@
         handOverRegisters.handOverRecords(from, request, callback);
     }
 
-    /** Gets ready to be a voter of the next set. {@code current}: this node's frame was confirmed by the present voters. */
+    /**
+     * Prepares to be a voter of the next set. {@code current}: this node's view was confirmed by the present voters.
+     */
     public void prepareStandby(final long epoch, final boolean current, final Consumer<Message> callback) {
         if (epoch != votingConfiguration.epoch()) {
             callback.accept(votingConfiguration.epochMismatch());
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
@@ -27,9 +27,9 @@
 
 /**
  * The change from one voting set to the next. A voter of the earlier set seals it: once the chosen later set is synced,
- * it answers nothing more in the earlier epoch and hands over what it holds. A voter of the later set reads a majority of
- * the sealed earlier set, syncs all that together with the new epoch, and only then votes. One that is late may read a
- * single voter of its own epoch, since that one has read such a majority and nothing was promised here since.
+ * it answers nothing more in the earlier epoch and hands over what it holds. A voter of the later set reads a majority
+ * of the sealed earlier set, syncs all that together with the new epoch, and only then votes. A voter that is late may
+ * read a single voter of its own epoch, since that one has read such a majority and nothing was promised here since.
  */
 final class AcceptorHandover {
     private static final long RETRY_MS = 100;
@@ -68,7 +68,7 @@
         recordHandover = store;
     }
 
-    /** The present set has changed: nothing more is answered in the earlier epoch, and that is synced. */
+    /** Called when the voting set has changed: nothing more is answered in the earlier epoch, and that is synced. */
     void onVotingSetChange() {
         reading = null;
         seal();
@@ -144,7 +144,7 @@
                 () -> callback.accept(recordHandover.page(request.checksums(), request.afterKey())));
     }
 
-    /** Whole cells that differ, in their order. */
+    /** Complete buckets whose checksums differ, in their order. */
     private RegisterHandoverResponse page(final List<Long> sums, final int from) {
         final List<Long> ownChecksums = state.checksums();
         final Map<Integer, List<Register>> cells = new TreeMap<>();
@@ -175,7 +175,7 @@
                 state.epoch(), state.top(), state.resumptions(), state.founders(), list, next);
     }
 
-    /** Asks for what is still missing; called again and again until this voter votes or the set has changed once more. */
+    /** Requests what is still missing; called repeatedly until this voter votes or the set has changed once more. */
     void readPreviousSet() {
         if (reading == null || reading.epoch != votingConfiguration.epoch()) {
             reading = new Reading(votingConfiguration.chosenSet().orElseThrow());
@@ -217,7 +217,7 @@
             }
         }
 
-        /** This voter's own memory of the earlier epoch counts like one that was read, once it is sealed. */
+        /** This voter's own state of the earlier epoch counts like one that was read, once it is sealed. */
         void countOwnState() {
             final boolean sealed = state.sealedEpoch() >= epoch && state.epoch() == epoch - 1;
             if (isCurrent() && sealed && previousVoters.contains(self) && canHandOver()) {
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
@@ -23,15 +23,18 @@
 import org.rowanvalve.control.store.ItemDigest;
 
 /**
- * What a voter remembers, in rows on its disk: its registers, a floor under all ballots, the epoch it last voted in, and
- * the latest chosen set of voters that it has synced.
+ * What a voter stores, in rows on its disk: its registers, a floor under all ballots, the epoch it last voted in, and
+ * the latest chosen voting set that it has synced.
  */
 public final class AcceptorState {
     private static final String SEAL_KEY = "seal";
     private static final String REGISTER_PREFIX = "e/";
-    /** On a disk that was there at the network's first start; for a later start it says, without a seal, that nothing was lost. */
+    /**
+     * Marks a disk that was there at the network's first start; at a later start it shows, without a seal, that nothing
+     * was lost.
+     */
     private static final String FIRST_START_KEY = "first";
-    /** On the disk of a standby: up to this epoch it has never voted with a memory that is now lost. */
+    /** On the disk of a standby: up to this epoch it has never voted with a state that is now lost. */
     private static final String STANDBY_KEY = "standby";
 
     private static final String VOTING_SET_KEY = "voters";
@@ -105,12 +108,12 @@
         return firstStart;
     }
 
-    /** Whether every vote that this machine has given and that still counts is remembered, or none was given. */
+    /** Whether every vote of this machine that still counts is stored here, or none was given. */
     boolean isContinuous() {
         return complete || standbySaved || firstStart;
     }
 
-    /** The last epoch in which this memory took part in votes. */
+    /** The last epoch in which this state took part in votes. */
     long epoch() {
         return epoch;
     }
@@ -165,7 +168,7 @@
         put(new Register(promised, best.acceptedBallot(), best.item()));
     }
 
-    /** What another memory says beside its registers. */
+    /** What another voter's state says beside its registers. */
     void adopt(final Map<NodeId, String> founderNames, final long otherFloor, final long otherResumptions) {
         founders = Map.copyOf(founderNames);
         ballotFloor = Math.max(ballotFloor, otherFloor);
@@ -199,7 +202,7 @@
         complete = true;
     }
 
-    /** Registers that are dropped; the floor keeps what was promised for them from coming back. */
+    /** Drops registers; the ballot floor keeps what was promised for them from coming back. */
     void drop(final Collection<Register> dead) {
         final Map<String, byte[]> rows = new HashMap<>();
         dead.forEach(register -> {
@@ -294,7 +297,7 @@
         return storage.isStalled();
     }
 
-    /** Sums by cell over the accepted values and their ballots, so that two memories find where they differ. */
+    /** Checksums by bucket over the accepted values and their ballots, to find where two states differ. */
     List<Long> checksums() {
         final long[] sums = new long[ItemDigest.BUCKETS];
         registers.values().stream()
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
@@ -20,20 +20,22 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * A voter without memory answers no vote until it has read a majority of the others of its epoch, each of which raises its
- * floor first. All without memory found a new network, where nobody has said for a while that it holds anything.
+ * Rebuilds the state of a voter that lost it. Such a voter answers no vote until it has read a majority of the others
+ * of its epoch, each of which first raises its ballot floor above all it has promised: an answer given before the loss
+ * can then no longer count. Where no voter has state, they found a new network, once nobody has reported any for a
+ * while.
  */
 final class AcceptorStateRecovery {
     private static final long FOUNDING_QUIET_MS = 1200;
     private static final long MIN_AGE_MS = 700;
     private static final long FOUNDING_PATIENCE_MS = 2500;
-    /** How long an answer without registers is waited for. */
+    /** Time-out of a request for a summary, without registers. */
     private static final long SUMMARY_TIMEOUT_MILLIS = 350;
-    /** How long one with all registers is waited for at first; each time twice as long as before, up to the longest. */
+    /** First time-out of a request for all registers; it doubles with each attempt up to the longest. */
     private static final long FIRST_TRANSFER_TIMEOUT_MILLIS = 500;
 
     private static final long LONGEST_TRANSFER_TIMEOUT_MILLIS = 8000;
-    /** Starts of askers that are remembered; one that is forgotten only has the floor raised once more. */
+    /** Starts of requesters that are remembered; for one that is forgotten the floor is raised once more. */
     private static final int REMEMBERED_REQUESTERS = 64;
 
     private final NodeId self;
@@ -55,7 +57,10 @@
     private long readingUntil = Long.MIN_VALUE;
     private long transferTimeoutMs = FIRST_TRANSFER_TIMEOUT_MILLIS;
 
-    /** {@code isVoting}: whether this voter votes in the present epoch; {@code stateRebuilt}: run once its memory is rebuilt. */
+    /**
+     * {@code isVoting}: whether this voter votes in the present epoch; {@code stateRebuilt}: run once its state is
+     * rebuilt.
+     */
     AcceptorStateRecovery(
             final NodeId self,
             final VotingConfiguration votingConfiguration,
@@ -89,7 +94,7 @@
         startedAt = loop.now();
     }
 
-    /** Answers of an earlier epoch count no more. */
+    /** Called when the epoch has changed: answers of an earlier one no longer count. */
     void onVotingSetChange() {
         round++;
         readingUntil = Long.MIN_VALUE;
@@ -112,8 +117,9 @@
     }
 
     /**
-     * All that the asker's earlier life may have voted for was promised before its first ask, so it lies below a floor
-     * raised then. Raising it for each repeat would refuse every ballot that is under way, again and again.
+     * Whatever the requester voted for before its restart was promised before its first request, so it lies below a
+     * floor raised then. Raising the floor for each repeated request would refuse every ballot under way, again and
+     * again.
      */
     private void raiseFloorFor(final NodeId asker, final String requesterIncarnation) {
         if (fencedRequesters.size() >= REMEMBERED_REQUESTERS) {
@@ -207,7 +213,10 @@
         }
     }
 
-    /** Every other voter was asked, those without memory stand blank, and a store has its own: nothing accepted stands elsewhere. */
+    /**
+     * Whether this is the only copy: every other voter answered, those without state hold nothing, and a store has its
+     * own.
+     */
     private boolean isOnlyCopy(final Map<NodeId, StateTransferResponse> responses, final Set<NodeId> holders) {
         return responses.size() == votingConfiguration.voters().size() - 1
                 && votingConfiguration.quorum().stores().stream().anyMatch(holders::contains)
@@ -225,8 +234,8 @@
     }
 
     /**
-     * Where starts are told apart, a majority in its first life that never voted is proof that nothing was ever accepted:
-     * it need not wait for one that ended during the first start and came back without a note of it.
+     * Where starts can be distinguished, a majority in its first start that never voted proves that nothing was ever
+     * accepted: it need not wait for a voter that ended during its first start and came back without a record of it.
      */
     private boolean isFoundingMajority(final Map<NodeId, StateTransferResponse> responses) {
         return votingConfiguration.quorum().stores().isEmpty()
--- a/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
@@ -10,8 +10,8 @@
 import org.rowanvalve.control.voting.StoreHealth;
 
 /**
- * A disk that knows how long it has been behind, so that its owner can say so instead of keeping others waiting. Rows
- * that could not be saved are owed: they go along with whatever is saved next, so that a yes covers all before it.
+ * A disk that reports how long it has been stalled, so that its voter can refuse instead of keeping others waiting.
+ * Rows that could not be saved go along with whatever is saved next, so that a success covers all rows before it.
  */
 public final class MonitoredStorage implements StableStorage {
     private static final long PROBE_INTERVAL_MS = 300;
@@ -29,7 +29,7 @@
         this.loop = loop;
     }
 
-    /** Stalled or failing for the stated time; one that fails is still tried now and then. */
+    /** Whether it has been stalled or failing for the stated time; a failing disk is still tried now and then. */
     public boolean isStalled() {
         final long now = loop.now();
         final boolean slow = !pendingWrites.isEmpty()
--- a/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
@@ -32,9 +32,17 @@
 import org.rowanvalve.control.voting.StoreHealth;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** Proposes changes to registers: prepare at a majority, apply, accept at a majority with a store, tell all. */
+/**
+ * Proposes changes to registers. A write prepares at a majority of the voters, takes over the value last accepted,
+ * applies the change to it, and has the result accepted at a majority with at least one store. Only then is it chosen
+ * and sent to the other nodes. Writes of one register go one after the other; proposers of several nodes are ordered by
+ * their ballots.
+ */
 public final class Proposer {
-    /** Two that keep overtaking each other must draw from more than a round takes, at most so long. */
+    /**
+     * Upper bound of the random pause after a lost ballot: two proposers that overtake each other have to draw from
+     * more than one round takes.
+     */
     private static final long MAX_CONTENTION_DELAY_MS = 400;
 
     private static final Set<ItemId> PRE_PROMISED = Set.of(ItemId.LEADERSHIP, ItemId.PLAN, ItemId.LEDGER);
@@ -50,23 +58,29 @@
     private final Map<ItemId, PreparedBallot> preparedBallots = new HashMap<>();
     private long highestRound;
 
-    /** A ballot that a majority promised when it accepted this value: the next write need not prepare. */
+    /** A ballot that a majority promised when it accepted this value: the next write needs no prepare. */
     private record PreparedBallot(Ballot ballot, Item item) {}
 
+    /** How a proposal ended. */
     public enum Status {
+        /** Accepted at a majority and synced there. */
         ACCEPTED,
+        /** The register did not stand where the writer expected; the value found is chosen. */
         CONFLICT,
+        /** Nothing was sent that a voter could accept; it will not take effect. */
         REJECTED,
+        /** The time-out passed; the value may be chosen or not. */
         UNKNOWN
     }
 
+    /** {@code item}: the value that stands, as far as it is known. */
     public record Result(Status status, Item item) {
         public boolean isAccepted() {
             return status == Status.ACCEPTED;
         }
     }
 
-    /** Empty means: the register does not stand where the writer thought. */
+    /** Gives the new value of the register, or empty where the register does not stand where the writer expected. */
     @FunctionalInterface
     public interface Update {
         Optional<Item> apply(Item now);
@@ -95,6 +109,10 @@
         votingConfiguration.addListener(preparedBallots::clear);
     }
 
+    /**
+     * Writes one register. {@code writeId}: recognizes a repeat of the same write; {@code timeoutMs}: after which the
+     * callback gets {@link Status#UNKNOWN} or {@link Status#REJECTED}. The callback is called once, in the event loop.
+     */
     public void propose(
             final ItemId id,
             final String writeId,
@@ -104,6 +122,7 @@
         new Proposal(id, writeId, loop.now() + timeoutMs, change, callback).prepare();
     }
 
+    /** Reads one register by having its value chosen once more, so the result is as of a moment after the call. */
     public void read(final ItemId id, final long timeoutMs, final Consumer<Result> callback) {
         propose(id, "", timeoutMs, Optional::of, callback);
     }
@@ -223,7 +242,7 @@
             }
         }
 
-        /** A voter that goes by a later set ends the stage: it begins anew among the present voters. */
+        /** A voter of a later voting set ends the phase: it starts again among the present voters. */
         private boolean onVotingSetChange(final NodeId voter, final int requestPhase, final Reply reply) {
             if (!votingConfiguration.isEpochMismatch(voter, reply) || quorum.epoch() == votingConfiguration.epoch()) {
                 return false;
@@ -256,7 +275,7 @@
             }
         }
 
-        /** The standing value may be held by a minority only: it is made sure before the loser hears of it. */
+        /** The value found may be held by a minority only: it is chosen before the loser is told. */
         private void confirmStanding(final Item standing) {
             if (standing.version().number() == 0) {
                 complete(sent ? Status.UNKNOWN : Status.CONFLICT, standing);
--- a/control/src/main/java/org/rowanvalve/control/consensus/RecordHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/RecordHandover.java
@@ -5,27 +5,30 @@
 import org.rowanvalve.common.message.RecordHandoverResponse;
 import org.rowanvalve.common.message.RecordPageResponse;
 
-/** What a voter's records of keyed requests do when its memory is rebuilt, and at a change of the voting set. */
+/** What a voter's records of keyed requests do when its state is rebuilt, and at a change of the voting set. */
 public interface RecordHandover {
-    /** Whether records that were once kept here may be missing: such a memory is no source for others. */
+    /** Whether records may be missing that were once stored here: such a replica is no source for others. */
     boolean isIncomplete();
 
-    /** The voter's memory was lost and is rebuilt: rows to be saved in one transaction with it. */
+    /** Called when the voter's state was lost and is rebuilt: gives rows to be saved in one transaction with it. */
     Map<String, byte[]> markIncomplete();
 
-    /** Sums over the records of each cell. */
+    /** Checksums over the records of each bucket. */
     List<Long> checksums();
 
-    /** A page of the records in whose cells the sums differ, with all bars. {@code after}: the last key before it, or null. */
+    /**
+     * A page of the records in whose buckets the checksums differ, with all token floors. {@code after}: the last key
+     * before it, or null.
+     */
     RecordHandoverResponse page(List<Long> theirs, String after);
 
-    /** Takes a page of another voter; false where its sum is wrong and nothing was taken. */
+    /** Takes a page of another voter; false where its checksum is wrong and nothing was taken. */
     boolean mergePage(RecordHandoverResponse page);
 
     /** What has to be saved in one transaction with the voter's own rows; all that was merged is on its way to the disk. */
     Map<String, byte[]> handoverRows();
 
-    /** The rows are synced: nothing is missing any more, and nobody has read here in the new epoch. */
+    /** Called when the rows are synced: nothing is missing any more, and nobody has read here in the new epoch. */
     void onJoined();
 
     /** For voters that keep no records. */
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -19,21 +19,22 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Finishes what a vanished writer began: values accepted here that nobody has called chosen. What a start finds on its
- * disk is finished at once, by the first of the voters that is there, since after a loss of all power nobody else can.
- * A bounded number of items is read at a time, each once, so that recovery leaves room for the authority's own writes.
+ * Completes writes whose proposer has gone: values accepted here that nobody has announced as chosen. Values found on
+ * the disk at a start are completed at once, by the first voter that is up, since after a loss of all power no proposer
+ * is left. A bounded number of items is read at a time, each once, so that recovery leaves room for the leader's own
+ * writes.
  */
 public final class UnfinishedWriteRecovery {
-    /** So many items are read at the same time. */
+    /** Upper bound of items that are read at the same time. */
     static final int MAX_CONCURRENT_READS = 64;
 
     private static final long INTERVAL_MS = 50;
     private static final long READ_TIMEOUT_MILLIS = 700;
-    /** For so long after the start, items found on the disk are finished sooner than others. */
+    /** For this time after the start, items found on the disk are completed sooner than others. */
     private static final long STARTUP_MS = 4000;
 
     private static final long RANK_DELAY_MS = 250;
-    /** Without these the control plane stands still, so they are finished first. */
+    /** The control plane cannot work without these items, so they are completed first. */
     private static final Set<ItemKind> URGENT = Set.of(ItemKind.LEADERSHIP, ItemKind.PLAN, ItemKind.VOTERS);
 
     private final BooleanSupplier isVoting;
@@ -102,7 +103,7 @@
         }
     }
 
-    /** The items whose time has come; two voters begin at different ends, so that they do not overtake each other. */
+    /** The items that are due; two voters begin at different ends, so that they do not overtake each other. */
     private List<ItemId> dueItems() {
         final List<ItemId> list = new ArrayList<>();
         registers.get().forEach((id, register) -> {
--- a/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
+++ b/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
@@ -15,9 +15,14 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.store.ItemStore;
 
-/** Which store is the lease authority. Renewed each D/3, acted upon until t_send + D - M. */
+/**
+ * Elects the leader, which manages leases and the voting set. Leadership is a register: whoever writes a higher term
+ * into it leads, and renews it. With D and M of the leadership lease ({@link LeaseTimings#leadershipLeaseMs}), a leader
+ * acts only until the send time of its last accepted renewal plus D - M; another node campaigns only D + 2M after it
+ * learned the last renewal. So two leaders never act at the same time as long as clocks drift by less than M in D + 2M.
+ */
 public final class LeaderElection {
-    /** More terms than a side whose memory was lost can have begun in two weeks. */
+    /** Terms that are skipped after a loss of state: more than a partitioned side can have begun in two weeks. */
     public static final long TERM_LEAP = 1_000_000;
 
     private final NodeId self;
@@ -38,7 +43,10 @@
     private boolean leading;
     private boolean resigned;
 
-    /** {@code last}: the last instant, on this clock, at which the old authority could have granted; {@code wary}: terms leapt. */
+    /**
+     * {@code last}: the last instant, on this clock, at which the earlier leader could have granted; {@code wary}:
+     * whether terms were skipped because the electors' state was the only copy left.
+     */
     @FunctionalInterface
     public interface Listener {
         void onElected(long term, long last, boolean wary);
@@ -67,20 +75,26 @@
         this.listener = listener;
     }
 
+    /** Begins to campaign and to renew. */
     public void start() {
         loop.scheduleRepeatedly(timings.leadershipLeaseMs() / 4, this::renew);
         loop.scheduleRepeatedly(25, this::checkLeadership);
     }
 
+    /** Whether this node may act as leader now: its last renewal is still valid by its own clock. */
     public boolean isLeader() {
         return leading && loop.now() < validUntil;
     }
 
-    /** Still named, though its last renewal has run out: it does nothing, and goes on with its term if nobody took it. */
+    /**
+     * Still named as leader, though its last renewal has expired: it does nothing, and goes on with its term if no
+     * other took over.
+     */
     public boolean isUncertain() {
         return leading && loop.now() >= validUntil;
     }
 
+    /** The last term that this node won; 0 before the first. */
     public long term() {
         return term;
     }
@@ -199,7 +213,7 @@
         });
     }
 
-    /** Hands the tenure back so that the other store need not wait. */
+    /** Resigns, so that another node need not wait for the lease of this one to expire. */
     public void resign(final Runnable callback) {
         resigned = true;
         if (!isLeader()) {
@@ -210,6 +224,7 @@
         writeLeadership(true, term, 1500, result -> callback.run());
     }
 
+    /** Stops acting as leader at once, without writing anything; the lease expires by itself. */
     public void abandon() {
         stepDown();
     }
--- a/control/src/main/java/org/rowanvalve/control/election/Leadership.java
+++ b/control/src/main/java/org/rowanvalve/control/election/Leadership.java
@@ -5,6 +5,12 @@
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.control.json.Json;
 
+/**
+ * The register that names the leader. {@code incarnation}: the start of the leader that was elected; {@code renewals}:
+ * how often it renewed in this term; {@code released}: it resigned, so that another need not wait; {@code resumptions}:
+ * how often the state of its electors was the only copy left; {@code leaseMs}, {@code marginMs}: the time-outs it leads
+ * by.
+ */
 public record Leadership(
         @JsonProperty("holder") String leader,
         @JsonProperty("boot") String incarnation,
@@ -14,7 +20,7 @@
         @JsonProperty("lives") long resumptions,
         @JsonProperty("reign") long leaseMs,
         @JsonProperty("slack") long marginMs) {
-    /** A body of a version that did not state its duration had the shards' lease. */
+    /** A record without a duration was written by a release that used the D of shards. */
     long leaseMs(final LeaseTimings timings) {
         return leaseMs > 0 ? leaseMs : timings.leaseMs();
     }
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
@@ -35,7 +35,11 @@
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.control.store.ItemStore;
 
-/** A shield's leases: held, uncertain, expired or revoked; only a held one starts fills. */
+/**
+ * A shield's leases. A lease is granted as uncertain, is held once a renewal of it is answered, and expires at the send
+ * time of the last answered renewal plus D - M. Only a held lease starts fills; an uncertain or expired one still
+ * serves what is cached.
+ */
 public final class LeaseHolder {
     private static final long RETRY_MS = 200;
     private final EventLoop loop;
@@ -95,11 +99,15 @@
         this.fillStopper = fillStopper;
     }
 
+    /** Begins to renew the leases, and to expire those that were not renewed in time. */
     public void start() {
         loop.scheduleRepeatedly(timings.renewIntervalMs(), this::renew);
         loop.scheduleRepeatedly(50, this::tick);
     }
 
+    /**
+     * Whether a request to an origin may be sent now under this shard's lease. Checked again right before each send.
+     */
     public boolean mayFill(final int shard) {
         final Lease lease = leases.get(shard);
         return lease != null
@@ -109,17 +117,19 @@
                 && clockSound.getAsBoolean();
     }
 
+    /** The fencing token of the shard's lease, or {@link FencingToken#ZERO} where there is none. */
     public FencingToken token(final int shard) {
         final Lease lease = leases.get(shard);
         return lease == null ? FencingToken.ZERO : lease.token;
     }
 
-    /** Copies are served on until the shard is known to be another's; only filling needs the right. */
+    /** Cached copies are served until the shard is known to be another's; only filling needs the lease. */
     public boolean mayServe(final int shard) {
         final Lease lease = leases.get(shard);
         return lease != null && lease.state != LeaseState.REVOKED;
     }
 
+    /** How many shards may be filled now. */
     public long heldCount() {
         return leases.keySet().stream().filter(this::mayFill).count();
     }
@@ -172,7 +182,7 @@
         }
     }
 
-    /** One renewal, asked again while it fails fast; it has gone unanswered once a quarter of D is over. */
+    /** One renewal, retried while it fails fast; it counts as unanswered after a quarter of D. */
     private void sendRenewal(final List<ShardLease> leases, final long firstSentAt, final List<ShardDemand> demandNow) {
         final long sentAt = loop.now();
         final long sentTerm = term;
@@ -240,6 +250,7 @@
         response.stale().forEach(shardLease -> onRevoke(shardLease, ok -> {}));
     }
 
+    /** Takes new leases from the leader; each is uncertain until a renewal of it is answered. */
     public void onGrant(final NodeId from, final LeaseGrantRequest request, final Consumer<Message> callback) {
         if (request.term() != term || !from.equals(leader)) {
             callback.accept(new RejectedResponse("not the authority known here"));
@@ -290,6 +301,7 @@
         return true;
     }
 
+    /** Stops the fills of the named shards; the response leaves once they have ended. */
     public void onRevoke(final NodeId from, final LeaseRevokeRequest request, final Consumer<Message> callback) {
         if (request.term() < term) {
             callback.accept(new RejectedResponse("old term"));
@@ -341,7 +353,7 @@
         });
     }
 
-    /** After a fence that could not be confirmed: the authority says the wait is over. */
+    /** After fills that could not be stopped in time: the leader declares the wait over. */
     public void onFenceAck(final FenceAckRequest request, final Consumer<Message> callback) {
         request.shards().forEach(shard -> {
             final Lease lease = leases.get(shard);
@@ -352,7 +364,7 @@
         callback.accept(new AckResponse());
     }
 
-    /** A freeze or a bad clock: nothing believed before counts any more. */
+    /** After a pause of the process or with an unreliable clock, no lease held before counts any more. */
     public void dropAll() {
         placementReceived = false;
         leases.forEach((shard, lease) -> {
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
@@ -44,7 +44,11 @@
 import org.rowanvalve.control.placement.RateShareBalancer;
 import org.rowanvalve.control.placement.Regions;
 
-/** The acting store's side of plan and leases. */
+/**
+ * The leader's side of placement and leases. It grants a shard to another shield only when the earlier holder has
+ * stopped all fills of it, or D + 2M after the last renewal that it granted to that holder: by then the holder's own
+ * validity, counted from the earlier send time and shortened by M, has ended.
+ */
 public final class LeaseManager {
     private static final long SETTLE_MS = 3000;
     private final EventLoop loop;
@@ -104,6 +108,10 @@
         loop.scheduleRepeatedly(100, this::tick);
     }
 
+    /**
+     * Begins a term. {@code lastGrant}: the last instant, on this clock, at which an earlier leader could have granted;
+     * {@code termLeapt}: whether earlier grants are unknown.
+     */
     public void onElected(final long term, final long lastGrant, final boolean termLeapt) {
         grantsUnknown = termLeapt;
         shardStates.clear();
@@ -117,7 +125,7 @@
         loadPlan();
     }
 
-    /** The first act of a term restates the plan, so that a late write of an earlier term finds another version. */
+    /** The first write of a term repeats the plan, so that a late write of an earlier term finds another version. */
     private void loadPlan() {
         writing = true;
         final long term = election.term();
@@ -189,7 +197,10 @@
         }
     }
 
-    /** After the only memory left: grants it does not know of may live until the gate, or until all owners have said hello. */
+    /**
+     * After a recovery from the only copy left: grants unknown here may be valid until the waiting time is over, or
+     * until all owners have reported.
+     */
     private boolean resolveUnknownGrants() {
         if (loop.now() < timings.regrantTime(lastPossibleGrant)
                 && !plan.assignments().stream().allMatch(p -> greeted.contains(p.ownerId()))) {
@@ -337,7 +348,7 @@
         }
     }
 
-    /** Reconnect order: revokes, then fence acknowledgements, then the whole placement. */
+    /** Order after a reconnect: revocations, then fence acknowledgements, then the complete placement. */
     public void onHello(final NodeId from, final LeaseHelloRequest request, final Consumer<Message> callback) {
         final boolean mine = election.isLeader() && planLoaded && request.term() == election.term();
         callback.accept(new LeaseHelloResponse(mine, election.term()));
@@ -393,6 +404,7 @@
                 && !shardStates.get(lease.shard()).released;
     }
 
+    /** Renews the leases that match the plan, unless the shard is moving or the holder's clock is unreliable. */
     public void onRenew(final NodeId from, final LeaseRenewRequest request, final Consumer<Message> callback) {
         if (election.isUncertain() && request.term() == election.term()) {
             callback.accept(new RejectedResponse("tenure unsure"));
--- a/control/src/main/java/org/rowanvalve/control/membership/ClockSkewMonitor.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/ClockSkewMonitor.java
@@ -6,7 +6,7 @@
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.NodeId;
 
-/** Compares this clock's pace with its peers' over a window of beats; the bound is over D+2M. */
+/** Compares this clock's rate with its peers' over a window of heartbeats; the bound holds over D + 2M. */
 public final class ClockSkewMonitor {
     private static final long WINDOW_MS = 20_000;
     private static final long MIN_SPAN_MS = 8_000;
@@ -19,6 +19,10 @@
         this.timings = timings;
     }
 
+    /**
+     * One heartbeat with its response. {@code sentAt}, {@code receivedAt}: on this node's monotonic clock, in ms;
+     * {@code peerClock}: the peer's monotonic clock when it responded.
+     */
     public void addSample(final NodeId peer, final long sentAt, final long receivedAt, final long peerClock) {
         final ArrayDeque<Sample> window = samples.computeIfAbsent(peer, k -> new ArrayDeque<>());
         final Sample last = window.peekLast();
@@ -31,7 +35,7 @@
         }
     }
 
-    /** The drift from one peer that the samples prove, in ms over D+2M; zero while too little is known. */
+    /** The drift from one peer that the samples prove, in ms over D + 2M; zero while too little is known. */
     public long provenSkewMs(final NodeId peer) {
         final ArrayDeque<Sample> window = samples.get(peer);
         if (window == null || window.isEmpty()) {
@@ -49,13 +53,14 @@
         return Math.max(0, skew) * (timings.leaseMs() + 2 * timings.marginMs()) / span;
     }
 
-    /** Against most peers: one peer with a bad clock does not condemn this one. */
+    /** The drift from most peers: one peer with a bad clock does not condemn this one. */
     public long medianSkewMs() {
         final long[] all =
                 samples.keySet().stream().mapToLong(this::provenSkewMs).sorted().toArray();
         return all.length == 0 ? 0 : all[(all.length - 1) / 2];
     }
 
+    /** Whether this node's clock drifts by more than half of M from most peers. */
     public boolean exceedsBound() {
         return medianSkewMs() >= timings.marginMs() / 2;
     }
--- a/control/src/main/java/org/rowanvalve/control/membership/HeartbeatClockMonitor.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/HeartbeatClockMonitor.java
@@ -7,8 +7,8 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * Others' clocks, judged by one-way beats. A beat may come late but never early, so only the promptest of the older
- * and of the newer half of the window are compared: beats that a cut held up prove nothing.
+ * Other nodes' clocks, judged by one-way heartbeats. A heartbeat may come late but never early, so only the promptest
+ * of the older and of the newer half of the window are compared: heartbeats that a partition delayed prove nothing.
  */
 public final class HeartbeatClockMonitor {
     private static final long WINDOW_MS = 20_000;
@@ -27,6 +27,7 @@
         this.timings = timings;
     }
 
+    /** One heartbeat: {@code now} on this node's clock, {@code peerClock} on the sender's, both in ms. */
     public void addSample(final NodeId peer, final long now, final long peerClock) {
         final ArrayDeque<Sample> window = samples.computeIfAbsent(peer, k -> new ArrayDeque<>());
         if (!window.isEmpty() && peerClock < window.peekLast().peerClock()) {
@@ -45,7 +46,7 @@
                 .orElse(null);
     }
 
-    /** When beats were last heard again after a silence; what was held up arrives then, all at once. */
+    /** When heartbeats were last received again after a silence; delayed ones arrive then, all at once. */
     private static long resumedAt(final ArrayDeque<Sample> window) {
         long last = window.peekFirst().ownClock();
         long resumedAt = last;
@@ -58,7 +59,7 @@
         return resumedAt;
     }
 
-    /** The drift that the beats prove, in ms over D+2M; zero while too little is known. */
+    /** The drift that the heartbeats prove, in ms over D + 2M; zero while too little is known. */
     public long provenSkewMs(final NodeId peer) {
         final ArrayDeque<Sample> window = samples.get(peer);
         if (window == null || window.isEmpty()) {
--- a/control/src/main/java/org/rowanvalve/control/membership/MemberTable.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/MemberTable.java
@@ -13,8 +13,9 @@
 import org.rowanvalve.common.model.Role;
 
 /**
- * All members ever heard of, each at a place that it keeps; changes are numbered, so that others can be told the rest.
- * Edges have places below zero: nobody relies on their silence, so it is told only where it is long.
+ * All members ever heard from, each at a place that it keeps. Changes are numbered, so that another node can ask for
+ * those it has not seen. Edges have places below zero: nothing depends on how long they have been silent, so only long
+ * silences of edges are reported.
  */
 final class MemberTable {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -52,7 +53,7 @@
         this.failureTimeoutMs = failureTimeoutMs;
     }
 
-    /** What came of a word about a member: whether it is new or back, and whether its address is. */
+    /** What a report about a member changed: whether the member is new or back, and whether its address is new. */
     record Noted(boolean appeared, boolean addressChanged) {}
 
     private Row addRow(final Role role) {
@@ -62,7 +63,7 @@
         return row;
     }
 
-    /** A word older than the last one changes nothing. */
+    /** A report older than the last one changes nothing. */
     Noted record(final Member member, final long heard, final long now) {
         final Row row = rows.computeIfAbsent(member.id(), k -> addRow(member.role()));
         if (heard < row.heardAt) {
@@ -116,7 +117,7 @@
         return row == null || row.isGone() ? 0 : now - row.aliveSince;
     }
 
-    /** By id. */
+    /** All members, by id. */
     Collection<Row> all() {
         return rows.values();
     }
@@ -147,7 +148,7 @@
                         (ms + HeartbeatResponse.SILENCE_UNIT_MS - 1) / HeartbeatResponse.SILENCE_UNIT_MS);
     }
 
-    /** Of all but edges, by place. */
+    /** The silence of all members but edges, by place. */
     byte[] coreSilences(final long now) {
         final byte[] all = new byte[coreRows.size()];
         for (int i = 0; i < all.length; i++) {
--- a/control/src/main/java/org/rowanvalve/control/membership/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/Membership.java
@@ -25,9 +25,12 @@
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.voting.StoreHealth;
 
-/** Who is there: every node sends heartbeats to the voters, the voters tell all they have heard. */
+/**
+ * Failure detection: every node sends heartbeats to the voters, which answer with the member list and how long each
+ * member has been silent.
+ */
 public final class Membership {
-    /** Shields beside the seeds that are beaten to as well, so that their silence is seen at first hand. */
+    /** Shields that get heartbeats as well, so that their silence is seen at first hand. */
     private static final int EXTRA_SHIELDS = 3;
 
     private static final int FEW_SHIELDS = 8;
@@ -79,12 +82,12 @@
         loop.execute(this::sendHeartbeats);
     }
 
-    /** Tells the voters of a change in this node at once. */
+    /** Reports a change of this node to the voters at once. */
     public void announce() {
         sendHeartbeats();
     }
 
-    /** Whether a voter has answered a heartbeat of late. */
+    /** Whether a voter has answered a heartbeat within the time-out. */
     public boolean hasVoterContact() {
         return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MILLIS;
     }
@@ -101,7 +104,10 @@
         table.collectLost(loop.now()).forEach(id -> journal.add(Event.of(EventCode.MEMBER_LOST, "node", id.text())));
     }
 
-    /** Where shields are many, they are beaten to only while no seed answers, and not all nodes choose the same. */
+    /**
+     * Where there are many shields, they get heartbeats only while no seed answers, and not all nodes choose the same
+     * ones.
+     */
     private List<NodeId> extraRecipients() {
         final List<NodeId> list = liveMembers(Role.SHIELD).stream()
                 .map(Member::id)
@@ -119,7 +125,7 @@
                         .toList();
     }
 
-    /** The roll is for a seed that has not answered with its list yet. */
+    /** The digest is for a seed that has not answered with its list yet. */
     private void sendHeartbeat(final NodeId seed, final Member ownMember) {
         final long sent = loop.now();
         final SeedMemberView view = seedViews.computeIfAbsent(seed, k -> new SeedMemberView());
@@ -143,7 +149,7 @@
                                 () -> storeHealth.recordMissed(seed, sent)));
     }
 
-    /** What of this node never changes in its life. */
+    /** What never changes about this node while it runs. */
     private Member ownMember() {
         ownIdentity = ownIdentity == null ? self.get() : ownIdentity;
         return ownIdentity;
@@ -163,7 +169,7 @@
         }
     }
 
-    /** Two nodes with the same roll know the same members at the same addresses. */
+    /** Two nodes with the same digest know the same members at the same addresses. */
     private long memberDigest() {
         return liveMembers().stream()
                 .mapToLong(member -> Hash.hash64(member.with(NodeStatus.READY).toString()))
@@ -175,10 +181,12 @@
         return itemsReported || itemCount.getAsInt() > 0;
     }
 
+    /** Whether this node's heartbeats prove no drift of half of M or more. */
     public boolean isClockSound(final NodeId id) {
         return heartbeatClocks.provenSkewMs(id) < timings.marginMs() / 2;
     }
 
+    /** Records a heartbeat and responds with what the sender lacks of the member list. */
     public void onHeartbeat(final HeartbeatRequest request, final Consumer<Message> back) {
         heartbeatClocks.addSample(request.member().id(), loop.now(), request.clockMs());
         record(request.member(), loop.now());
@@ -231,7 +239,7 @@
                 .toList();
     }
 
-    /** Something was just heard from it. */
+    /** Called when anything was received from this node. */
     public void recordContact(final NodeId id) {
         table.recordContact(id, loop.now());
     }
@@ -242,6 +250,7 @@
                 table.all().stream().filter(row -> row.member().role() == role).count();
     }
 
+    /** Whether this node was heard from within the time-out. */
     public boolean isAlive(final NodeId id) {
         return table.isAlive(table.get(id), loop.now());
     }
@@ -250,6 +259,7 @@
         return table.knownForMs(id, loop.now());
     }
 
+    /** Time since this node was last heard from, in ms; {@link Long#MAX_VALUE} for one never heard from. */
     public long silenceMs(final NodeId id) {
         final MemberTable.Row row = table.get(id);
         return row == null ? Long.MAX_VALUE : loop.now() - row.heardAt();
@@ -259,6 +269,7 @@
         return table.all().stream().map(row -> row.member().id()).toList();
     }
 
+    /** The member of this name, or null where it was never heard from. */
     public Member get(final NodeId id) {
         final MemberTable.Row row = table.get(id);
         return row == null ? null : row.member();
--- a/control/src/main/java/org/rowanvalve/control/membership/SeedMemberView.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/SeedMemberView.java
@@ -8,7 +8,10 @@
 import org.rowanvalve.common.message.HeartbeatResponse;
 import org.rowanvalve.common.model.Member;
 
-/** A seed's member list as far as it has been told here; an answer brings what changed, and how long each is silent. */
+/**
+ * A seed's member list as far as this node has received it; each answer brings what changed, and how long each member
+ * has been silent.
+ */
 final class SeedMemberView {
     private final List<Member> coreMembers = new ArrayList<>();
     private final List<Member> edgeMembers = new ArrayList<>();
--- a/control/src/main/java/org/rowanvalve/control/operator/ApiResponse.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ApiResponse.java
@@ -15,12 +15,12 @@
         return new ApiResponse(200, body);
     }
 
-    /** Nothing can be said for certain; the same again is welcome after {@code retryMs}. */
+    /** The result is not known; the same request may be repeated after {@code retryMs}. */
     public static ApiResponse unavailable(final String reason, final long retryMs) {
         return new ApiResponse(503, members("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
     }
 
-    /** The number was taken with another body; {@code version} is the one that stands. */
+    /** The version was taken with another body; {@code version} is the one that stands. */
     public static ApiResponse conflict(final ItemId item, final long version) {
         return new ApiResponse(
                 409,
@@ -44,7 +44,7 @@
         return map;
     }
 
-    /** The statement has faults; nothing of it was taken. */
+    /** The declaration has errors; nothing of it was taken. */
     public static ApiResponse invalid(final List<ValidationError> list) {
         return new ApiResponse(
                 422,
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
@@ -24,7 +24,7 @@
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewSynchronizer;
 
-/** Takes what operators and origins state, at any node. */
+/** Takes what operators and origins declare, at any node. */
 public final class ConfigurationService {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
     private static final long CONTACT_TIMEOUT_MILLIS = 700;
@@ -54,10 +54,13 @@
         return ApiResponse.unavailable("this node's frame is not confirmed", 1000);
     }
 
-    /** What a statement comes to before the items that are held: its faults, and the item's body where there are none. */
+    /**
+     * What a declaration comes to before it is compared with the chosen items: its errors, and the item's body where
+     * there are none.
+     */
     record Validation(List<ValidationError> errors, String body) {}
 
-    /** Faults are told only as a majority sees them: what was stated elsewhere a moment ago may mend them. */
+    /** Errors are reported only as a majority sees them: what was declared elsewhere a moment ago may resolve them. */
     private void whenValid(
             final Supplier<Validation> check, final Consumer<String> accepted, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
@@ -81,7 +84,7 @@
         });
     }
 
-    /** Reads what is held, as of a moment after the question. */
+    /** Reads the chosen items as of a moment after the request. */
     public void inContact(final Supplier<ApiResponse> read, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
@@ -104,6 +107,10 @@
         return current;
     }
 
+    /**
+     * Declares one item. {@code expectedVersion}: the version it replaces; {@code operationId}: recognizes a repeat of
+     * the same call.
+     */
     public void putItem(
             final ItemId id,
             final byte[] data,
@@ -134,6 +141,7 @@
         return new Validation(errors, errors.isEmpty() ? next.bodies().get(id) : null);
     }
 
+    /** Deletes one item that stands at {@code expectedVersion}. */
     public void deleteItem(
             final ItemId id,
             final long expectedVersion,
@@ -228,7 +236,7 @@
         };
     }
 
-    /** A whole declared configuration: checked whole first, then stated item by item. */
+    /** A complete configuration: checked as one, then declared item by item. */
     public void applyConfiguration(final byte[] data, final Consumer<ApiResponse> callback) {
         whenValid(
                 () -> {
@@ -300,6 +308,7 @@
                 });
     }
 
+    /** Takes an origin's announcement, valid for its time to live. */
     public void announceOrigin(final String writeId, final byte[] data, final Consumer<ApiResponse> callback) {
         whenValid(
                 () -> announcements.validate(writeId, data),
@@ -310,6 +319,7 @@
                 callback);
     }
 
+    /** The item as this node has learned it, without asking others; 404 where there is none. */
     public ApiResponse getItem(final ItemId id) {
         final Item item = items.get(id);
         if (item.version().equals(Version.ZERO) || item.deleted()) {
@@ -342,13 +352,14 @@
         return new ApiResponse(200, all);
     }
 
-    /** What was accepted piece by piece and does not fit together now. */
+    /** References that do not resolve now between items that were accepted one by one. */
     public List<ValidationError> referenceErrors() {
         final List<ValidationError> list = new ArrayList<>();
         Configuration.of(items).checkReferences(list);
         return list;
     }
 
+    /** All items of a kind as this node has learned them, without asking others. */
     public ApiResponse listItems(final ItemKind kind) {
         final Map<String, Object> all = new TreeMap<>();
         items.all().stream()
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
@@ -19,8 +19,9 @@
 import org.rowanvalve.control.json.JsonReader;
 
 /**
- * A call that sets and drops items under versions of the operator's own: for each name the highest holds, a lower one
- * alters nothing. Reading finds every fault of the text; whether it fits what stands is judged by {@link UpdateLedger}.
+ * An operator's update that sets and drops items under versions of the operator's own. For each item the highest
+ * version holds; a lower one changes nothing. Reading finds every error of the text; {@link UpdateLedger} decides
+ * whether it fits what stands.
  */
 public final class ConfigurationUpdate {
     private static final List<ItemKind> KINDS = List.of(ItemKind.SERVICE, ItemKind.ROUTE, ItemKind.LIMIT);
@@ -31,7 +32,7 @@
     record ItemUpdate(@JsonProperty("ver") Version version, String body) {
         private static final int DIGITS = 12;
 
-        /** What tells two bodies under one number apart. */
+        /** The digest that distinguishes two bodies under one version. */
         String digest() {
             return body == null ? UpdateLedger.DELETED_DIGEST : digest(body);
         }
@@ -40,7 +41,7 @@
             return Hash.sha256Hex(body.getBytes(StandardCharsets.UTF_8)).substring(0, DIGITS);
         }
 
-        /** What stands once this part has come to it. */
+        /** The item that stands once this part has been applied to it. */
         Item appliedTo(final Item current, final String writeId) {
             return current.version().number() >= version.number()
                     ? current
@@ -117,7 +118,7 @@
         return Version.ZERO;
     }
 
-    /** The services that this part names and that are neither set by the same call nor {@code known}. */
+    /** The services named by this part that are neither set by the same update nor {@code known}. */
     List<ValidationError> unknownServices(final ItemId id, final Predicate<ItemId> known) {
         return serviceReferences.getOrDefault(id, Set.of()).stream()
                 .filter(s -> !s.isEmpty())
@@ -129,7 +130,7 @@
                 .toList();
     }
 
-    /** What names a service that is neither set by the same call nor {@code known}. */
+    /** The parts that name a service that is neither set by the same update nor {@code known}. */
     public List<ValidationError> unfit(final Predicate<ItemId> known) {
         return updates.keySet().stream()
                 .flatMap(id -> unknownServices(id, known).stream())
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
@@ -71,7 +71,7 @@
         return new ConfigurationService.Validation(errors, Json.write(announced));
     }
 
-    /** An origin that left does not come back under its stamp, and a late announcement changes nothing. */
+    /** An origin that left does not come back under the same start, and a late announcement changes nothing. */
     void write(final String name, final Origin announced, final Consumer<Proposer.Result> back) {
         final ItemId id = new ItemId(ItemKind.ORIGIN, name);
         final String writeId = writeIds.get();
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
@@ -18,7 +18,10 @@
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewSynchronizer;
 
-/** Origins that beat: an item is written only when something about one changes, the beats themselves stay here. */
+/**
+ * Origins that send heartbeats. An item is written only when something about an origin changes; the heartbeats
+ * themselves stay in memory here.
+ */
 public final class OriginRegistry {
     private static final long WRITE_TIMEOUT_MILLIS = 900;
     private static final long CONTACT_TIMEOUT_MILLIS = 700;
@@ -66,8 +69,8 @@
     }
 
     /**
-     * A beat; one that comes late, by its count, changes nothing, and one that has left does not come back. What tells
-     * news is written; a leave that tells none is acknowledged in contact with a majority.
+     * A heartbeat. One that comes late, by its count, changes nothing, and an origin that has left does not come back.
+     * A change is written; a leave that changes nothing is acknowledged in contact with a majority.
      */
     public void onHeartbeat(final String name, final Origin announced, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
@@ -89,7 +92,9 @@
         }
     }
 
-    /** It has ended, or says so: the same as leaving, for good. Said again, at any node, it is acknowledged again. */
+    /**
+     * The origin has ended, or says so: the same as leaving, for good. A repeat, at any node, is acknowledged again.
+     */
     public void onEnd(final String name, final Consumer<ApiResponse> callback) {
         final ItemId id = new ItemId(ItemKind.ORIGIN, name);
         lastHeardAt.remove(id);
@@ -100,7 +105,7 @@
         }
     }
 
-    /** Goes on once a majority has confirmed this node's frame for a moment after now. */
+    /** Continues once a majority has confirmed this node's view for a moment after now. */
     private void whenConfirmed(final Runnable action, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
             callback.accept(unavailable("this node's frame is not confirmed"));
@@ -153,7 +158,7 @@
                 });
     }
 
-    /** How long ago each origin was last heard of here, in ms. */
+    /** Time since each origin was last heard from here, in ms. */
     public Map<ItemId, Long> agesMs() {
         final Map<ItemId, Long> map = new HashMap<>();
         lastHeardAt.forEach((id, current) -> map.put(id, items.now() - current));
--- a/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
@@ -6,11 +6,11 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
- * Gives one answer, the first that comes. Callers go on to another node after a second of silence, so a node that has
- * heard from no majority since the question says so before that second is over.
+ * Gives one response, the first that is ready. Callers try another node after a second without an answer, so a node
+ * that has heard from no majority since the request responds before that second is over.
  */
 final class ResponseDeadline {
-    /** Without contact there is an answer after so long. */
+    /** Without contact with a majority there is a response after this time. */
     static final long CONTACT_TIMEOUT_MILLIS = 780;
 
     private ResponseDeadline() {}
@@ -25,7 +25,7 @@
         };
     }
 
-    /** {@code late} is given where no majority has confirmed this node's frame for a moment after now. */
+    /** {@code late} is given where no majority has confirmed this node's view for a moment after now. */
     static <T> Consumer<T> inContact(
             final EventLoop loop, final ViewSynchronizer view, final Supplier<T> late, final Consumer<T> back) {
         final long asked = loop.now();
--- a/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
@@ -16,7 +16,7 @@
 import org.rowanvalve.control.store.CollectionFloor;
 import org.rowanvalve.control.store.ItemStore;
 
-/** The acting store's duty: drops purges that no copy can be older than, and origins long gone. */
+/** Runs at the leader: drops purges that no cached copy can be older than, and origins that ended long ago. */
 public final class TombstoneCollector {
     private static final long ROUND_MS = 10_000;
     private static final long SAFETY_MS = 60_000;
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateLedger.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateLedger.java
@@ -18,24 +18,24 @@
 import org.rowanvalve.control.json.Json;
 
 /**
- * The value of the one register that decides operators' calls: for each item the numbers taken last and the digest of
- * each one's body, and the calls whose items may not all be written yet. A call is taken whole, by one write of this
- * register, or not at all. Immutable.
+ * The value of the one register that decides operators' updates: for each item the versions taken last with the digest
+ * of each body, and the updates whose items may not all be written yet. An update is taken as a whole, by one write of
+ * this register, or not at all. Immutable.
  */
 public record UpdateLedger(
         Map<ItemId, List<Taken>> taken,
         @JsonProperty("open") List<Map<ItemId, ConfigurationUpdate.ItemUpdate>> openUpdates) {
-    /** In place of a digest where a number drops its item. */
+    /** In place of a digest where a version drops its item. */
     static final String DELETED_DIGEST = "-";
-    /** So many numbers are remembered for each item, the highest ones, and never fewer where there were more. */
+    /** Versions that are remembered for each item, the highest ones, and never fewer where there were more. */
     static final int MIN_HISTORY = 8;
 
-    /** So many more are remembered for all items together; those with the most give way first. */
+    /** Further versions that are remembered for all items together; items with the most give way first. */
     static final int SHARED_HISTORY = 256;
 
     static final UpdateLedger EMPTY = new UpdateLedger(Map.of(), List.of());
 
-    /** A number that was taken, with the digest of its body; as text {@code NUMBER:DIGEST}. */
+    /** A version that was taken, with the digest of its body; as text {@code NUMBER:DIGEST}. */
     record Taken(long number, String digest) {
         @JsonCreator
         static Taken parse(final String text) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** {@code item}, {@code version}: where the conflict is, and the number that stands there. */
+    /** {@code item}, {@code version}: where the conflict is, and the version that stands there. */
     record Judgement(UpdateVerdict verdict, ItemId item, long version, List<ValidationError> errors) {
         static Judgement of(final UpdateVerdict verdict) {
             return new Judgement(verdict, null, 0, List.of());
@@ -64,7 +64,7 @@
         return Json.write(this);
     }
 
-    /** The numbers known for an item, the highest first; a chosen item counts also where no call has stated it. */
+    /** The versions known for an item, the highest first; a chosen item counts also where no update has named it. */
     private List<Taken> history(final ItemId id, final Function<ItemId, Item> standingItems) {
         final List<Taken> list = new ArrayList<>(taken.getOrDefault(id, List.of()));
         final Item item = standingItems.apply(id);
@@ -93,7 +93,7 @@
                         && history.get(history.size() - 1).number() > number;
     }
 
-    /** What the call comes to; {@code standingItems}: items known as chosen. */
+    /** The verdict on an update; {@code standingItems}: items known as chosen. */
     Judgement judge(final ConfigurationUpdate update, final Function<ItemId, Item> standingItems) {
         boolean hasNew = false;
         final List<ValidationError> errors = new ArrayList<>();
@@ -118,14 +118,17 @@
         return Judgement.of(hasNew ? UpdateVerdict.NEW : UpdateVerdict.TAKEN);
     }
 
-    /** A route that takes force needs a service that stands; one that was overtaken, a service that ever stood. */
+    /** A route that takes effect needs a service that stands; one that was overtaken, a service that ever stood. */
     private boolean isKnownService(
             final ItemId service, final Function<ItemId, Item> standingItems, final boolean everKnown) {
         final List<Taken> history = history(service, standingItems);
         return !history.isEmpty() && (everKnown || !history.get(0).digest().equals(DELETED_DIGEST));
     }
 
-    /** With the call taken: all its numbers recorded, and the parts that take force among what is to be written. */
+    /**
+     * The ledger with the update taken: all its versions recorded, and the parts that take effect among what is to be
+     * written.
+     */
     UpdateLedger withTaken(final ConfigurationUpdate update, final Function<ItemId, Item> standingItems) {
         final Map<ItemId, List<Taken>> next = new TreeMap<>(taken);
         final Map<ItemId, ConfigurationUpdate.ItemUpdate> force = new TreeMap<>();
@@ -165,7 +168,7 @@
         }
     }
 
-    /** Without the calls whose every item is known as chosen, in their version or a higher one. */
+    /** The ledger without the updates whose every item is known as chosen, in their version or a higher one. */
     UpdateLedger withoutWritten(final Function<ItemId, Item> standingItems) {
         final List<Map<ItemId, ConfigurationUpdate.ItemUpdate>> left = openUpdates.stream()
                 .filter(call -> call.entrySet().stream()
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
@@ -17,17 +17,17 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Takes calls into the ledger, several in one write, and then writes their items. Any node may do so at any time: what
- * is decided is decided by the ledger's ballots, and an item is only ever written as the ledger says.
+ * Takes updates into the ledger, several in one write, and then writes their items. Any node may do so at any time: the
+ * ledger's ballots decide, and an item is only ever written as the ledger says.
  */
 final class UpdateSequencer {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
-    /** A call that nobody has finished for so long is finished by another node. */
+    /** An update that nobody has completed for this time is completed by another node. */
     private static final long TAKEOVER_MS = 500;
 
     private static final long RANK_DELAY_MS = 250;
     private static final long ROUND_MS = 250;
-    /** Bodies that were written are taken out of the ledger by a write of its own where they are this large together. */
+    /** Bodies that were written are removed from the ledger by a write of its own when they are this large together. */
     private static final int LARGE_BODY_CHARS = 8192;
 
     private final EventLoop loop;
@@ -55,18 +55,21 @@
         this.writeIds = writeIds;
     }
 
-    /** From now on this node finishes what others leave open; {@code rank} spreads several nodes in time. */
+    /** From now on this node completes what others leave open; {@code rank} spreads several nodes in time. */
     void start(final int rank) {
         loop.scheduleRepeatedly(ROUND_MS, () -> finishOpenUpdates(TAKEOVER_MS + rank * RANK_DELAY_MS));
     }
 
-    /** STANDS is said once every item of the call is chosen; never says NEW. */
+    /**
+     * The verdict {@link UpdateVerdict#TAKEN} is given once every item of the update is chosen; {@link
+     * UpdateVerdict#NEW} is never given.
+     */
     void submit(final ConfigurationUpdate update, final Consumer<Judgement> callback) {
         queue.add(new PendingUpdate(update, callback));
         writeNextBatch();
     }
 
-    /** Whether the ledger is known to hold all of a call. */
+    /** Whether the ledger is known to contain all of an update. */
     boolean isTaken(final ConfigurationUpdate update) {
         return learnedLedger().judge(update, items::get).verdict() == UpdateVerdict.TAKEN;
     }
@@ -99,7 +102,7 @@
                 });
     }
 
-    /** The ledger with each call of the batch that can be taken; where there is none, the standing value itself. */
+    /** The ledger with each update of the batch that can be taken; where there is none, the standing value itself. */
     private Item nextLedger(final Item now, final List<PendingUpdate> batch, final String writeId) {
         final UpdateLedger before = UpdateLedger.of(now);
         UpdateLedger after = batch.isEmpty() ? before.withoutWritten(items::get) : before;
@@ -129,7 +132,7 @@
         }
     }
 
-    /** Hears true once each of these items is chosen as the ledger says. */
+    /** The callback gets true once each of these items is chosen as the ledger says. */
     private void writeItems(final UpdateLedger chosen, final Collection<ItemId> ids, final Consumer<Boolean> callback) {
         final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = chosen.unwritten(items::get);
         unwritten.keySet().retainAll(ids);
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -30,13 +30,16 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
- * Operators' orders under versions of their own: items set and dropped, objects purged, the whole read back. Every
- * answer rests on a majority that was asked after the order came in; without one it is 503, with when to come back.
+ * Operators' updates under versions of their own: items set and dropped, objects purged, the configuration read back.
+ * Every response rests on a majority that was asked after the update arrived; without one it is 503, with the time
+ * after which to retry.
  */
 public final class UpdateService {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
     private static final long CONTACT_TIMEOUT_MILLIS = 700;
-    /** After so long without an answer from the preferred node a call is taken here, unless it is known as taken. */
+    /**
+     * After this time without an answer from the preferred node an update is taken here, unless it is known as taken.
+     */
     private static final long FORWARD_TIMEOUT_MILLIS = 500;
 
     private static final long RETRY_AFTER_MS = 500;
@@ -50,7 +53,9 @@
     private final Supplier<Optional<NodeId>> preferredSequencer;
     private final UpdateSequencer sequencer;
 
-    /** {@code preferredSequencer}: the node that should put calls in order, where it is another one that is heard from. */
+    /**
+     * {@code preferredSequencer}: the node that should sequence updates, where it is another one that is heard from.
+     */
     public UpdateService(
             final EventLoop loop,
             final Transport transport,
@@ -69,7 +74,10 @@
         this.sequencer = new UpdateSequencer(loop, items, proposer, writeIds);
     }
 
-    /** From now on calls that were taken and left half written are finished here; {@code rank} spreads several nodes. */
+    /**
+     * From now on updates that were taken and left half written are completed here; {@code rank} spreads several nodes
+     * in time.
+     */
     public void start(final int rank) {
         sequencer.start(rank);
     }
@@ -79,8 +87,9 @@
     }
 
     /**
-     * 200 once every item of the call stands at a majority, synced; the same call again is 200 for as long as its numbers
-     * are known. 409 where a number was taken with another body: nothing of the call has taken force, or ever will.
+     * 200 once every item of the update stands at a majority, synced; the same update again is 200 for as long as its
+     * versions are remembered. 409 where a version was taken with another body: nothing of the update has taken effect,
+     * or ever will.
      */
     public void apply(final byte[] data, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
@@ -96,7 +105,7 @@
         }
     }
 
-    /** 422 after a majority has answered, so that a node that is cut off ends no order for good. */
+    /** 422 after a majority has answered, so that a partitioned node rejects no update for good. */
     public void refuseInvalid(final List<ValidationError> errors, final Consumer<ApiResponse> callback) {
         refuse(ApiResponse.invalid(errors), callback);
     }
@@ -105,7 +114,7 @@
         refuse(new ApiResponse(status, ApiResponse.members("fate", "refused", "reason", reason)), callback);
     }
 
-    /** Says no for good, but only in contact with a majority. */
+    /** Rejects for good, but only in contact with a majority. */
     private void refuse(final ApiResponse refusal, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
@@ -121,7 +130,10 @@
         return ResponseDeadline.inContact(loop, view, () -> unavailable("no majority answered in time"), callback);
     }
 
-    /** At the preferred node, so that several calls are one write; where that one does not answer in time, here too. */
+    /**
+     * Has the update taken at the preferred node, so that several are one write; where that one does not answer in
+     * time, here too.
+     */
     private void submit(final ConfigurationUpdate patch, final byte[] data, final Consumer<ApiResponse> callback) {
         final Consumer<Judgement> decision = ResponseDeadline.once(judgement -> respond(patch, judgement, callback));
         final boolean[] submittedHere = {false};
@@ -152,7 +164,7 @@
                         .ifPresentOrElse(decision, local));
     }
 
-    /** A call that another node took in. */
+    /** An update that another node has received. */
     public void onForwarded(final UpdateForwardRequest request, final Consumer<Message> callback) {
         final List<ValidationError> errors = new ArrayList<>();
         final ConfigurationUpdate patch = ConfigurationUpdate.read(request.update(), errors);
@@ -191,7 +203,7 @@
         return done;
     }
 
-    /** What the call names may have been stated past the ledger, at another node: judged once more by a frame since. */
+    /** What the update names may have been declared at another node: judged once more by a view confirmed since. */
     private void recheckReferences(final ConfigurationUpdate patch, final Consumer<ApiResponse> callback) {
         view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
             if (!ok) {
@@ -208,7 +220,10 @@
         });
     }
 
-    /** Of a host's path or of a tag; each order is a version of its own, so that what was filled since the last one goes too. */
+    /**
+     * Purges a host's path or a tag; each call is a version of its own, so that what was filled since the last one goes
+     * too.
+     */
     public void purge(final Purge purge, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
             callback.accept(unavailable("this node's frame is not confirmed"));
@@ -238,7 +253,7 @@
                                 : unavailable("no majority confirmed the purge")));
     }
 
-    /** All that stands, as of a moment after the question: nothing accepted before is missing. */
+    /** The configuration as of a moment after the request: nothing accepted before is missing. */
     public void readAll(final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
         readAll(ResponseDeadline.CONTACT_TIMEOUT_MILLIS, callback);
     }
--- a/control/src/main/java/org/rowanvalve/control/placement/OwnerSelector.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/OwnerSelector.java
@@ -5,7 +5,10 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.membership.Membership;
 
-/** Which shield a shard goes to. Shards belong to places in turn; a place's shields hold its shards while there are any. */
+/**
+ * Selects the shield that owns a shard. Shards belong to regions in turn; a region's shields own its shards while there
+ * are any.
+ */
 public final class OwnerSelector {
     private final Regions regions;
     private final Membership membership;
--- a/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
@@ -14,7 +14,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.json.Json;
 
-/** One epoch: which shield fills each shard, under which token. */
+/** The placement of one epoch: which shield owns each shard, under which fencing token. */
 public record PlacementPlan(
         long epoch,
         long term,
--- a/control/src/main/java/org/rowanvalve/control/placement/Regions.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/Regions.java
@@ -1,6 +1,6 @@
 package org.rowanvalve.control.placement;
 
-/** The places that shards belong to. */
+/** The regions that shards belong to. */
 public interface Regions {
     int indexOf(String cell);
 
--- a/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
+++ b/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
@@ -28,11 +28,11 @@
 import org.rowanvalve.control.voting.VotingSet;
 
 /**
- * Keeps the voting set at its wanted size, on the acting lease authority only: a voter that is leaving or has been silent
- * for too long is replaced by a standby, one a change. The change is written by ballot of the set that it ends.
+ * Keeps the voting set at its wanted size, at the leader only: a voter that is leaving or has been silent for too long
+ * is replaced by a standby, one in each change. The change is written by ballot of the set that it ends.
  */
 public final class VotingSetPlanner {
-    /** A voter that is silent for so long is replaced. */
+    /** Silence after which a voter is replaced. */
     public static final long SILENCE_TIMEOUT_MILLIS = 2500;
 
     private static final long INTERVAL_MS = 100;
@@ -40,11 +40,11 @@
     private static final long STANDBY_TIMEOUT_MILLIS = 800;
     /** How often the next standby is kept up to date. */
     private static final long STANDBY_REFRESH_MS = 2000;
-    /** The least time between two changes that nothing presses for. */
+    /** The least time between two changes that are not urgent. */
     private static final long MIN_CHANGE_INTERVAL_MS = 2000;
     /** How long a change waits for voters that have not taken over yet. */
     private static final long JOIN_TIMEOUT_MILLIS = 3000;
-    /** A standby has been heard for so long, and has not been silent for longer. */
+    /** A standby must have been heard from for this time, without a longer silence. */
     private static final long SETTLED_MS = 1000;
 
     private final NodeId self;
@@ -102,7 +102,7 @@
         return member.location().substring(0, member.location().lastIndexOf('/') + 1);
     }
 
-    /** How many present voters share a place with this member. */
+    /** How many present voters are in the same location as this member. */
     private long voters(final Member member, final Function<Member, String> place) {
         return votingConfiguration.voters().stream()
                 .map(membership::get)
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Nothing is due: the standby that would be next has what it needs beforehand. */
+    /** No change is due: the standby that would be next is brought up to date beforehand. */
     private void refreshStandby() {
         if (loop.now() - standbyRefreshedAt >= STANDBY_REFRESH_MS) {
             standbyRefreshedAt = loop.now();
@@ -187,7 +187,10 @@
         return member == null ? NodeStatus.UNREADY : member.status();
     }
 
-    /** Silence counts from the last word, and for one that was never heard from the beginning of this authority's term. */
+    /**
+     * Silence counts from the last heartbeat, and for a voter that was never heard from, from the start of this
+     * leader's term.
+     */
     private boolean isLost(final NodeId id) {
         if (id.equals(self) || loop.now() - electedAt < SETTLED_MS) {
             return false;
@@ -208,7 +211,7 @@
                 .toList();
     }
 
-    /** The standby gets ready first, so that the set stands still for a moment only. */
+    /** The standby prepares first, so that the voting set pauses for a moment only. */
     private void prepareChange(final SetChange change) {
         changing = true;
         journal.add(Event.of(
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
@@ -40,9 +40,9 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Remembers intents and outcomes of keyed requests; bars tokens below the highest it was read with. Each write names
- * the era in which its writer read this keeper: whoever rebuilds a lost memory from here ends the era, so that no
- * intent can stand on an answer given before the loss and one given after the rebuilding.
+ * One replica of the records of keyed requests. It stores intents and outcomes, and refuses tokens below the highest it
+ * was read with. Each write names the era in which its writer read this replica: whoever rebuilds lost records from
+ * here ends the era, so that no intent can rest on an answer given before the loss and one given after the rebuilding.
  */
 public final class KeyedRecordStore implements RecordHandover, RecordRecovery.Records {
     private static final String RECORD_PREFIX = "k/";
@@ -61,7 +61,7 @@
     private final Map<Integer, FencingToken> tokenFloors = new HashMap<>();
     private final Map<Integer, String> lastReaders = new HashMap<>();
     private final Map<Integer, TokenFloor> syncedFloors = new HashMap<>();
-    /** For whom this era was ended already; a repeated question does not end another. */
+    /** Requesters for which this era was ended already; a repeated request does not end another. */
     private final Set<String> eraEndedFor = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(final Map.Entry<String, Boolean> eldest) {
@@ -71,7 +71,7 @@
 
     private long incompleteSince = Long.MIN_VALUE;
     private boolean incomplete;
-    /** The end of the lapse is on its way to the disk: what is saved behind it must not bring it back there. */
+    /** The end of the incomplete state is being synced: rows saved after it must not bring that state back. */
     private boolean clearingIncomplete;
 
     private long era;
@@ -103,6 +103,7 @@
         this.recovery = new RecordRecovery(self, name, votingConfiguration, transport, loop, journal, table, this);
     }
 
+    /** Reads the records from disk; fails where they cannot be read. */
     public void start() throws StorageException {
         final long merged = wallClock.getAsLong();
         try {
@@ -136,13 +137,13 @@
         }
     }
 
-    /** Whether this keeper lacks records that it may once have held, and that may still matter. */
+    /** Whether this replica lacks records that it may once have stored, and that may still matter. */
     @Override
     public boolean isIncomplete() {
         return incomplete && wallClock.getAsLong() < incompleteSince + retention.retentionMs();
     }
 
-    /** These records lack what they held before, also after a restart; the others' are copied from now on. */
+    /** Marks the records as incomplete, also after a restart; the other replicas' are copied from now on. */
     @Override
     public Map<String, byte[]> markIncomplete() {
         incomplete = true;
@@ -157,11 +158,12 @@
                 : Map.of();
     }
 
+    /** How many records are stored. */
     public int size() {
         return table.size();
     }
 
-    /** A holder reads a shard's records; whoever reads last is the only one to write from then on. */
+    /** A holder reads a shard's records; only the last reader may write from then on. */
     public void onRead(final RecordReadRequest request, final Consumer<Message> callback) {
         final FencingToken tokenFloor = tokenFloors.getOrDefault(request.shard(), FencingToken.ZERO);
         if (storage.isStalled()) {
@@ -202,7 +204,7 @@
         });
     }
 
-    /** What this keeper holds in a lapse counts for nothing and is not sent. */
+    /** Records of an incomplete replica do not count and are not sent. */
     private RecordReadResponse respondWithPage(final RecordReadRequest request) {
         final int bytes = request.paged() ? KeyedRecordTable.LIGHT_PAGE_BYTES : Integer.MAX_VALUE;
         final KeyedRecordTable.Page page = isIncomplete()
@@ -216,11 +218,15 @@
                 true, isIncomplete(), request.token(), records, era(request.shard()), page.nextKey());
     }
 
-    /** What a writer must show: that it was the last to read this shard here, in this era. */
+    /** Whether the writer was the last to read this shard here, in this era. */
     private long era(final int shard) {
         return era ^ Hash.hash64(lastReaders.getOrDefault(shard, ""));
     }
 
+    /**
+     * Stores an intent or an outcome, unless the writer has to read this replica again; the response leaves once it is
+     * synced.
+     */
     public void onWrite(final RecordWriteRequest request, final Consumer<Message> callback) {
         final KeyedRecord record = request.keyedRecord();
         if (storage.isStalled()) {
@@ -248,14 +254,17 @@
         });
     }
 
-    /** An outcome is a fact, whoever asks for it and when. */
+    /** An outcome may be given to anybody at any time. */
     public void onOutcomeRequest(final OutcomeRequest request, final Consumer<Message> callback) {
         final KeyedRecordTable.Row row = table.get(request.key());
         callback.accept(
                 new OutcomeResponse(row == null || row.keyedRecord().outcome() == null ? null : row.keyedRecord()));
     }
 
-    /** Another keeper that lost its memory begins to copy this one's; with a bar this era ends before the first answer. */
+    /**
+     * Another replica that lost its records begins to copy this one's; with {@code endEra} this era ends before the
+     * first answer.
+     */
     public void onChecksumsRequest(final RecordChecksumsRequest request, final Consumer<Message> callback) {
         if (isIncomplete()) {
             callback.accept(new RecordChecksumsResponse(false, List.of(), Map.of()));
@@ -281,6 +290,7 @@
         return new RecordChecksumsResponse(true, table.bucketSums(), Map.copyOf(tokenFloors));
     }
 
+    /** Gives a page of records to a replica that lost its own. */
     public void onPageRequest(final RecordPageRequest request, final Consumer<Message> callback) {
         if (isIncomplete()) {
             callback.accept(new RecordPageResponse(false, List.of(), 0, null));
@@ -297,12 +307,12 @@
         return new RecordPageResponse(true, records, KeyedRecordTable.checksumOf(records), page.nextKey());
     }
 
-    /** A standby gets ready to vote: {@code then} hears whether it holds what some voter held a moment ago. */
+    /** A standby prepares to vote: {@code then} gets whether it holds what some voter held a moment ago. */
     public void prepareStandby(final Consumer<Boolean> then) {
         recovery.prepareStandby(then);
     }
 
-    /** Every voter that counts has been copied: the lapse ends once all is synced. */
+    /** Every voter that counts has been copied: the replica is complete once all is synced. */
     @Override
     public void onRecovered(final Consumer<Boolean> then) {
         final Map<String, byte[]> rows = new HashMap<>();
@@ -369,7 +379,7 @@
         return true;
     }
 
-    /** Nobody has read these shards in the epoch that begins: every holder reads them anew. */
+    /** Nobody has read these shards in the epoch that begins: every holder has to read them again. */
     @Override
     public Map<String, byte[]> handoverRows() {
         final Map<String, byte[]> rows = new HashMap<>();
@@ -401,7 +411,7 @@
         saveRows(Map.of(key, MessageCodec.encode(row)), then);
     }
 
-    /** While memory is short of what it once held, every row saved says so too. */
+    /** While the replica is incomplete, every save marks it so. */
     private void saveRows(final Map<String, byte[]> rowsToSave, final Consumer<Boolean> then) {
         final Map<String, byte[]> rows = new HashMap<>(rowsToSave);
         rows.putAll(incompleteRows());
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
@@ -14,12 +14,12 @@
 import org.rowanvalve.common.model.Hash;
 
 /**
- * The records of keyed requests that one keeper holds, by shard and by cell. Each cell has a sum over its records, so
- * that two keepers find where they differ without telling each other all.
+ * The records of keyed requests of one replica, by shard and by bucket. Each bucket has a checksum over its records, so
+ * that two replicas find where they differ without sending all.
  */
 public final class KeyedRecordTable {
     static final int BUCKETS = 1024;
-    /** Small enough not to keep other frames of the same circuit waiting. */
+    /** Bytes of a page: small enough not to delay other messages of the same connection. */
     static final int PAGE_BYTES = 48 << 10;
 
     static final int LIGHT_PAGE_BYTES = 24 << 10;
@@ -30,7 +30,9 @@
     private final Map<Integer, TreeMap<String, Row>> byBucket = new HashMap<>();
     private final long[] bucketSums = new long[BUCKETS];
 
-    /** {@code writtenAt}: when it was written, by the wall clock; {@code retentionMs}: for how long it stands from then on. */
+    /**
+     * {@code writtenAt}: when it was written, by the wall clock; {@code retentionMs}: how long it is kept from then on.
+     */
     public record Row(
             @JsonProperty("note") KeyedRecord keyedRecord,
             @JsonProperty("at") long writtenAt,
@@ -47,7 +49,7 @@
         return (int) (Hash.hash64(key) >>> 20) & BUCKETS - 1;
     }
 
-    /** What of a record is compared between keepers: all but the body, which its key and turn determine. */
+    /** The part of a record that replicas compare: all but the body, which its key and attempt determine. */
     static long checksum(final KeyedRecord record) {
         return Hash.hash64(record.key()
                 + '\n'
@@ -66,7 +68,7 @@
                 .reduce(0, (a, b) -> a ^ b);
     }
 
-    /** Whether a page holds what its sender put into it. */
+    /** Whether a page arrived as its sender made it. */
     static boolean isIntact(final RecordPageResponse page) {
         return page.checksum() == checksumOf(page.records());
     }
@@ -115,7 +117,7 @@
         return list;
     }
 
-    /** The cells in which another keeper's sums differ from these. */
+    /** The buckets in which another replica's checksums differ from these. */
     List<Integer> differingBuckets(final List<Long> other) {
         final List<Integer> list = new ArrayList<>();
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
@@ -126,7 +128,7 @@
         return list;
     }
 
-    /** Records of a shard without their bodies, from behind the key {@code afterKey}, or from the first. */
+    /** Records of a shard without their bodies, after the key {@code afterKey}, or from the first. */
     Page pageOfShard(final int shard, final String afterKey, final int bytes) {
         final List<Row> list = new ArrayList<>();
         int size = 0;
@@ -140,7 +142,7 @@
         return new Page(list, null);
     }
 
-    /** Records of the cells with their bodies; {@code afterKey} concerns the first of the cells. */
+    /** Records of the buckets with their bodies; {@code afterKey} concerns the first of the buckets. */
     Page pageOfBuckets(final List<Integer> wanted, final String afterKey) {
         final List<Row> list = new ArrayList<>();
         int size = 0;
--- a/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
@@ -24,9 +24,9 @@
 import org.rowanvalve.common.runtime.Transport;
 
 /**
- * Copies the records that other keepers hold and this one lacks: the sums of all cells first, then pages of those cells
- * that differ, from one keeper after the other. A page that is late or whose sum is wrong is asked again, and that one
- * alone; a keeper that is slow waits behind the others. What has been taken is not asked for again.
+ * Copies the records that other replicas hold and this one lacks: first the checksums of all buckets, then pages of the
+ * buckets that differ, from one replica after the other. A page that is late or whose checksum is wrong is requested
+ * again, and only that one; a slow replica moves behind the others. What has been copied is not requested again.
  */
 final class RecordCopy {
     private static final long FIRST_TIMEOUT_MILLIS = 1000;
@@ -34,7 +34,7 @@
     private static final long PAUSE_MS = 250;
     private static final long EMPTY_SOURCE_PAUSE_MS = 1000;
     private static final int FAILURES_BEFORE_SWITCH = 3;
-    /** Pages under way at once; more would hold up the other frames of a circuit. */
+    /** Pages requested at a time; more would delay other messages of the connection. */
     private static final int PARALLEL_PAGES = 2;
 
     private final EventLoop loop;
@@ -55,13 +55,13 @@
     private int pages;
     private int records;
 
-    /** Where the copied goes. */
+    /** Receives what was copied. */
     interface Sink {
         void tokenFloors(Map<Integer, FencingToken> bars);
 
         void records(List<AgedRecord> notes);
 
-        /** Every keeper that counts has been copied. */
+        /** Every replica that counts has been copied. */
         void onComplete();
     }
 
@@ -84,7 +84,10 @@
         }
     }
 
-    /** Cells that are copied one page after the other; {@code afterKey}: the last key taken of the first of them, or null. */
+    /**
+     * Buckets that are copied one page after the other; {@code afterKey}: the last key received of the first of them,
+     * or null.
+     */
     private static final class Lane {
         private List<Integer> buckets;
         private String afterKey;
@@ -96,8 +99,8 @@
     }
 
     /**
-     * {@code requester}: this life of this voter; {@code endEra}: whether the others' eras end for it; {@code enough}: whether those
-     * that were copied, and those that said they have no memory, will do.
+     * {@code requester}: this start of this voter; {@code endEra}: whether the others' eras end for it; {@code enough}:
+     * whether the replicas that were copied, and those that reported to have no records, suffice.
      */
     RecordCopy(
             final EventLoop loop,
@@ -159,7 +162,7 @@
         }
     }
 
-    /** One keeper at a time: what the first has given need not be asked of the next. */
+    /** One replica at a time: what the first has given need not be requested from the next. */
     private void startNext() {
         if (finished || active != null || queue.isEmpty()) {
             return;
@@ -174,7 +177,7 @@
         continueCopy(source);
     }
 
-    /** The cells that differ, shared out so that a page is on its way while the next is asked for. */
+    /** The buckets that differ, divided so that a page is on its way while the next is requested. */
     private void openLanes(final Source source) {
         final List<Integer> differing = table.differingBuckets(source.sums);
         final int share = (differing.size() + PARALLEL_PAGES - 1) / PARALLEL_PAGES;
@@ -183,7 +186,7 @@
         }
     }
 
-    /** Another keeper has given something meanwhile; a cell in the midst of which the last page ended is kept. */
+    /** Another replica has given something meanwhile; a bucket in the midst of which the last page ended is kept. */
     private void narrowLanes(final Source source) {
         final Set<Integer> differing = new HashSet<>(table.differingBuckets(source.sums));
         source.lanes.forEach(lane -> lane.buckets = lane.buckets.stream()
@@ -229,7 +232,7 @@
         }
     }
 
-    /** It has lost its own memory: it begins anew once it has it again. */
+    /** The source has lost its own records: it is copied from the beginning once it has them again. */
     private void onSourceEmptied(final Source source) {
         source.lanes.clear();
         if (active == source) {
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
@@ -16,12 +16,13 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Fills a record store from those of the present voters: a voter that lost its memory until nothing is lacking, a standby
- * so that little is left to hand over once it votes. One copy of each kind at a time, given up when the set changes.
+ * Fills a record store from those of the present voters: a voter that lost its records until nothing is missing, a
+ * standby so that little is left to hand over once it votes. One copy of each kind runs at a time; it is given up when
+ * the voting set changes.
  */
 final class RecordRecovery {
     private static final long CHECK_INTERVAL_MS = 250;
-    /** For how long a standby counts as warm once it has copied what a voter holds. */
+    /** Time for which a standby counts as up to date after it has copied what a voter holds. */
     private static final long WARM_MS = 3000;
 
     private static final long STANDBY_TIMEOUT_MILLIS = 500;
@@ -47,11 +48,11 @@
 
         void mergeRecords(List<AgedRecord> notes);
 
-        /** All that was lacking is here; {@code then} hears whether that is synced. */
+        /** All that was missing is here; {@code then} gets whether that is synced. */
         void onRecovered(Consumer<Boolean> then);
     }
 
-    /** {@code requester}: this life of this voter. */
+    /** {@code requester}: this start of this voter. */
     RecordRecovery(
             final NodeId self,
             final String requester,
@@ -76,7 +77,7 @@
         recover();
     }
 
-    /** Another set votes: what was begun with the one before is given up. */
+    /** Called when the voting set has changed: copies from the earlier one are given up. */
     private void onVotingSetChange() {
         stop(recovery);
         recovery = null;
@@ -91,7 +92,7 @@
         }
     }
 
-    /** While records are lacking, one copy of the others' is under way. */
+    /** While records are missing, one copy of the others' is under way. */
     void recover() {
         if (!records.isIncomplete()) {
             stop(recovery);
@@ -118,14 +119,16 @@
         records.onRecovered(ok -> recovery = null);
     }
 
-    /** All others were asked, those without memory said so, and a store has its own: every note stands there. */
+    /**
+     * Whether all others answered, those without records reported so, and a store has its own: every record is there.
+     */
     private boolean isOnlySource(final Set<NodeId> sources, final Set<NodeId> withoutRecords) {
         return sources.size() + withoutRecords.size()
                         == votingConfiguration.voters().size() - 1
                 && votingConfiguration.quorum().stores().stream().anyMatch(sources::contains);
     }
 
-    /** {@code callback} hears whether what some voter holds has been copied a moment ago. */
+    /** {@code callback} gets whether what some voter holds has been copied a moment ago. */
     void prepareStandby(final Consumer<Boolean> callback) {
         if (votingConfiguration.isVoter(self)
                 || standbyReadyAt != Long.MIN_VALUE && loop.now() - standbyReadyAt < WARM_MS) {
--- a/control/src/main/java/org/rowanvalve/control/store/ItemDigest.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemDigest.java
@@ -6,7 +6,7 @@
 import org.rowanvalve.common.model.Item;
 import org.rowanvalve.common.model.ItemId;
 
-/** Sums over (item, version): one over all, one for each cell, so that two nodes find where they differ. */
+/** Checksums over (item, version): one over all, one for each bucket, so that two nodes find where they differ. */
 public final class ItemDigest {
     public static final int BUCKETS = 64;
     private final long[] bucketSums = new long[BUCKETS];
@@ -36,7 +36,7 @@
         return list;
     }
 
-    /** The cells in which another's sums differ from these. */
+    /** The buckets in which another's checksums differ from these. */
     public List<Integer> differingBuckets(final List<Long> other) {
         final List<Integer> list = new ArrayList<>();
         for (int i = 0; i < BUCKETS; i++) {
--- a/control/src/main/java/org/rowanvalve/control/store/ItemStore.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemStore.java
@@ -19,7 +19,7 @@
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** The chosen items a node has learned. Versions never fall. */
+/** The chosen items that a node has learned. The version of an item never falls. */
 public final class ItemStore {
     private final EventLoop loop;
     private final EventJournal journal;
@@ -35,10 +35,12 @@
         this.journal = journal;
     }
 
+    /** {@code view} gets each item right after it was learned, in the event loop. */
     public void addListener(final Consumer<Item> view) {
         listeners.add(view);
     }
 
+    /** Learns a chosen item; false where the known version is as high, or the item was collected. */
     public boolean merge(final ChosenItem chosen) {
         final Item item = chosen.item();
         final Item previous = get(item.id());
@@ -92,6 +94,7 @@
         return kind.sharesVersionCounter() && least > next.version().number() ? new Version(least) : next.version();
     }
 
+    /** The chosen item, or one of version zero where none is known. */
     public Item get(final ItemId id) {
         final ChosenItem chosen = items.get(id);
         return chosen == null ? Item.none(id) : chosen.item();
@@ -101,6 +104,7 @@
         return loop.now();
     }
 
+    /** When this node learned the item's version, in ms of its monotonic clock; 0 where it has none. */
     public long learnedAt(final ItemId id) {
         return learnedAt.getOrDefault(id, 0L);
     }
@@ -120,6 +124,7 @@
         return items.toImmutable();
     }
 
+    /** The versions of all items in these buckets of the digest. */
     public Map<ItemId, Version> versions(final Collection<Integer> cells) {
         final Map<ItemId, Version> vers = new HashMap<>();
         items.forEachKeyValue((k, chosen) -> {
--- a/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
@@ -19,7 +19,7 @@
 import org.rowanvalve.control.store.ItemDigest;
 import org.rowanvalve.control.store.ItemStore;
 
-/** The electors' side of the questions. */
+/** The voters' side of view confirmation: compares another node's items with those accepted here. */
 public final class ViewServer {
     private static final int MAX_WANTED = 200;
     private static final long POLL_MS = 10;
@@ -62,7 +62,9 @@
         awaitOpenWrites(request, open, loop.now() + MAX_WAIT_MS, callback);
     }
 
-    /** What was accepted here and not known as chosen when the question came is waited for; later writes are not. */
+    /**
+     * Waits for what was accepted here and not known as chosen when the request came; later writes are not waited for.
+     */
     private void awaitOpenWrites(
             final MissingItemsRequest request,
             final Map<ItemId, Version> open,
--- a/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
@@ -23,7 +23,11 @@
 import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** Asks the electors whether this node holds all they have accepted, and takes what it lacks. */
+/**
+ * Confirms this node's view of the configuration: asks the voters whether it has all items they have accepted, and
+ * takes those it lacks. A majority that confirms a request proves that the view was complete when the request was sent,
+ * since every chosen item is at one of them at least.
+ */
 public final class ViewSynchronizer {
     private static final long NEVER = Long.MIN_VALUE / 2;
     private final VotingConfiguration votingConfiguration;
@@ -64,7 +68,10 @@
         votingConfiguration.addListener(this::onVotingSetChange);
     }
 
-    /** What the earlier voters confirmed stays true for its moment; their answers don't count among those of the new set. */
+    /**
+     * What the earlier voters confirmed stays valid for its time; their answers do not count among those of the new
+     * set.
+     */
     private void onVotingSetChange() {
         previousConfirmation = Math.max(previousConfirmation, majorityConfirmedAt());
         confirmedBy.clear();
@@ -72,18 +79,22 @@
         loop.execute(this::poll);
     }
 
-    /** From now on a frame counts for as long as these times say. */
+    /** From now on a view counts as confirmed for as long as these time-outs say. */
     public void timings(final LeaseTimings next) {
         timings = next;
     }
 
+    /** Begins to ask the voters. */
     public void start() {
         staleSince = loop.now();
         loop.execute(this::poll);
         loop.scheduleRepeatedly(INTERVAL_MS / 3, this::tick);
     }
 
-    /** Asked more often for a while after a start or a loss, so that service is back soon. */
+    /**
+     * The voters are asked more often for a while after a start or a loss of confirmation, so that service is back
+     * soon.
+     */
     private void tick() {
         if (isFresh()) {
             staleSince = loop.now();
@@ -93,6 +104,7 @@
         }
     }
 
+    /** Asks every voter now, whether the view is fresh or not. */
     public void poll() {
         final boolean now = isFresh();
         if (now != wasFresh) {
@@ -116,7 +128,7 @@
         }
     }
 
-    /** Cells that did not differ were equal after the question was sent, so its send time stands for all. */
+    /** Buckets that did not differ were equal after the request was sent, so its send time counts for all. */
     private void requestMissing(final long epoch, final NodeId voter, final long sentAt, final List<Integer> buckets) {
         if (buckets.isEmpty()) {
             recordConfirmation(epoch, voter, sentAt);
@@ -144,12 +156,12 @@
         }
     }
 
-    /** The newest instant for which a majority has confirmed this node's frame. */
+    /** The latest instant for which a majority has confirmed this node's view. */
     public long confirmedAt() {
         return Math.max(previousConfirmation, majorityConfirmedAt());
     }
 
-    /** Whether a majority of the present set has confirmed a frame of this node since it became the present one. */
+    /** Whether a majority of the present voting set has confirmed a view of this node since that set began. */
     public boolean isConfirmedInEpoch() {
         return majorityConfirmedAt() > NEVER;
     }
@@ -168,20 +180,23 @@
         return times.get(quorum.majority() - 1);
     }
 
+    /** Time since the latest instant for which a majority has confirmed this node's view, in ms. */
     public long ageMs() {
         return loop.now() - confirmedAt();
     }
 
+    /** Whether the view is young enough to serve what a purge or a change of configuration could concern. */
     public boolean isFresh() {
         return ageMs() < timings.maxViewAgeMs();
     }
 
+    /** Discards all confirmations, as after a pause of the process. */
     public void reset() {
         confirmedBy.clear();
         previousConfirmation = NEVER;
     }
 
-    /** Hears true once a majority has confirmed the frame for an instant not before {@code since}. */
+    /** The callback gets true once a majority has confirmed the view for an instant not before {@code since}. */
     public void awaitConfirmation(final long since, final long timeoutMs, final Consumer<Boolean> callback) {
         poll();
         checkConfirmation(since, loop.now() + timeoutMs, callback);
--- a/control/src/main/java/org/rowanvalve/control/voting/Quorum.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/Quorum.java
@@ -19,14 +19,17 @@
         this(0, voters, stores);
     }
 
+    /** The number of voters that is more than half of them. */
     public int majority() {
         return voters.size() / 2 + 1;
     }
 
+    /** Whether these responses meet every write quorum. */
     public boolean isReadQuorum(final Set<NodeId> responded) {
         return responded.size() >= majority();
     }
 
+    /** Whether what these voters synced is chosen: a majority, and among them a store where stores are named. */
     public boolean isWriteQuorum(final Set<NodeId> responded) {
         return responded.size() >= majority()
                 && (stores.isEmpty() || responded.stream().anyMatch(stores::contains));
--- a/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
@@ -10,7 +10,10 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** Which stores are heard from: what is accepted stands at both, or at one once the other has been silent for a while. */
+/**
+ * Which stores are heard from: what is accepted is synced at both, or at one once the other has been silent for a
+ * while.
+ */
 public final class StoreHealth {
     public static final long SILENCE_TIMEOUT_MILLIS = 400;
     private final Set<NodeId> stores;
@@ -36,26 +39,27 @@
         return stores.stream().allMatch(s -> synced.contains(s) || silent.contains(s));
     }
 
-    /** By its own word, or by ours. */
+    /** By its own report, or by ours. */
     public void markSilent(final NodeId store) {
         if (stores.contains(store) && silent.add(store)) {
             journal.add(Event.of(EventCode.STORE_SILENT, "store", store.text()));
         }
     }
 
-    /** Something sent at {@code at} was not answered; what beats tell counts too. */
+    /** A message sent at {@code at} was not answered; heartbeats count too. */
     public void recordMissed(final NodeId from, final long at) {
         if (lastHeardAt.getOrDefault(from, Long.MIN_VALUE) < at) {
             firstMissedAt.putIfAbsent(from, at);
         }
     }
 
+    /** Anything was received from this node. */
     public void recordContact(final NodeId from) {
         firstMissedAt.remove(from);
         lastHeardAt.put(from, loop.now());
     }
 
-    /** It synced something for us. */
+    /** The store synced something for this node. */
     public void recordSync(final NodeId from) {
         recordContact(from);
         if (silent.remove(from)) {
@@ -67,6 +71,7 @@
         return stores.contains(id);
     }
 
+    /** Stores that are no longer waited for. */
     public Set<NodeId> silent() {
         return Set.copyOf(silent);
     }
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
@@ -13,8 +13,8 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * The set of voters that this node goes by. It begins as the founding set and only moves forward, to a later set that
- * was chosen by ballot of the set before it.
+ * The voting set that this node goes by. It begins as the founding set and only moves forward, to a later set that was
+ * chosen by ballot of the set before it.
  */
 public final class VotingConfiguration {
     private final List<Runnable> listeners = new ArrayList<>();
@@ -34,7 +34,10 @@
         return new VotingConfiguration(founding, List.of());
     }
 
-    /** How a later set is passed on: {@code learn} takes it in here, {@code teach} sends it to a node that lacks it. */
+    /**
+     * How a later set is distributed: {@code learnSet} takes it in here, {@code teachSet} sends it to a node that lacks
+     * it.
+     */
     public void connectPeers(final Consumer<ChosenItem> learnSet, final BiConsumer<NodeId, ChosenItem> teachSet) {
         learner = learnSet;
         teacher = teachSet;
@@ -84,7 +87,7 @@
         listeners.add(listener);
     }
 
-    /** Goes over to a chosen set where it is later than the present one. */
+    /** Moves to a chosen set where it is later than the present one. */
     public void adopt(final ChosenItem set) {
         if (!set.item().id().equals(ItemId.VOTERS)
                 || set.item().version().number() <= quorum.epoch()
@@ -98,12 +101,12 @@
         listeners.forEach(Runnable::run);
     }
 
-    /** What a voter says to a message of another epoch than its own. */
+    /** A voter's answer to a message of another epoch than its own. */
     public EpochMismatchResponse epochMismatch() {
         return new EpochMismatchResponse(epoch(), chosenSet);
     }
 
-    /** Whether a voter refused the epoch of a message; whichever side is behind is told of the later set. */
+    /** Whether a voter refused the epoch of a message; whichever side is behind gets the later set. */
     public boolean isEpochMismatch(final NodeId from, final Reply reply) {
         final Optional<EpochMismatchResponse> other = reply.as(EpochMismatchResponse.class);
         other.ifPresent(o -> reconcile(from, o.epoch(), o.votingSet()));
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Looks for a later voting set while this node's frame is not confirmed: asks seeds and members who votes. */
+/** Searches for a later voting set while this node's view is not confirmed: asks seeds and members who votes. */
 public final class VotingSetSearch {
     private static final long INTERVAL_MS = 300;
     private static final int MEMBERS_PER_ROUND = 8;
--- a/data/src/main/java/org/rowanvalve/data/cache/CachedResponse.java
+++ b/data/src/main/java/org/rowanvalve/data/cache/CachedResponse.java
@@ -5,8 +5,9 @@
 import org.rowanvalve.control.config.Route;
 
 /**
- * {@code filledAt}: when, on this clock, the fill that brought it was sent; {@code tagVersions}: the versions of its tags' purges at
- * that moment; {@code service}: which one it came from.
+ * A response with its age and the versions it was filled under. {@code filledAt}: when, on this clock, the request that
+ * brought it was sent; {@code tagVersions}: the versions of its tags' purges at that moment; {@code service}: which one
+ * it came from.
  */
 public record CachedResponse(
         int status,
@@ -20,21 +21,22 @@
     static final long STALE_GRACE_MS = 1500;
     private static final String TAG_PREFIX = "t/";
 
-    /** Whether a route may still be answered from it: one of its services gave it. */
+    /** Whether a route may still be answered from it: one of the route's services gave it. */
     public boolean isFrom(final Route route) {
         return service == null || route.services().contains(service);
     }
 
+    /** Whether the copy is within its lifetime at {@code now} and as new as {@code wanted}. */
     public boolean isFresh(final long now, final VersionVector wanted) {
         return now - filledAt < ttlMs && versions.equals(wanted);
     }
 
-    /** Past its lifetime, but not by more than an object may have changed before: for when no fill can be had. */
+    /** Past its lifetime, but by no more than the route allows: for when no fill is possible. */
     boolean isUsable(final long now, final VersionVector wanted) {
         return now - filledAt < ttlMs + STALE_GRACE_MS && versions.equals(wanted);
     }
 
-    /** The mark that goes with this copy to other nodes: its own and its tags'. */
+    /** The versions that go with this copy to other nodes: its own and its tags'. */
     public VersionVector versionsWithTags() {
         if (tagVersions.isEmpty()) {
             return versions;
--- a/data/src/main/java/org/rowanvalve/data/edge/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -20,7 +20,7 @@
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.data.request.ClientResponse;
 
-/** A request's way at an edge: the steps compiled for its route, run one by one until one answers. */
+/** The edge: runs the steps compiled for a request's route, one by one until one answers. */
 public final class Edge {
     private static final int MAX_REQUESTS = 2048;
     private final EventLoop loop;
@@ -98,7 +98,7 @@
         return list;
     }
 
-    /** What callers may send now. */
+    /** The limits of what clients may send now. */
     public RequestLimits limits() {
         return configuration.limits();
     }
@@ -107,11 +107,12 @@
         closed = true;
     }
 
+    /** Requests that have not been answered yet. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** Whether there is anything to serve and a shield to ask. */
+    /** Whether there are routes to serve and a shield to forward to. */
     public boolean isAble() {
         return !closed
                 && !configuration.routesByPrecedence().isEmpty()
@@ -123,6 +124,7 @@
         return loop.now() - lastRequestAt >= ms;
     }
 
+    /** Answers one request; {@code callback} is called once, in the event loop. */
     public void handle(final ClientRequest request, final Consumer<ClientResponse> callback) {
         lastRequestAt = loop.now();
         if (closed) {
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -17,7 +17,9 @@
 import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.data.routing.ShardRouting;
 
-/** One request at an edge: the steps of its route, one by one until one answers, and what it shares with others. */
+/**
+ * One request at an edge: runs the steps of its route one by one until one answers, and joins fills of other requests.
+ */
 final class EdgeRequest {
     private final Edge edge;
     private final ClientRequest request;
@@ -84,7 +86,7 @@
         return deadline;
     }
 
-    /** What is kept of the time for the way back to the caller. */
+    /** Time reserved for the way back to the client. */
     long marginMs() {
         return marginMs;
     }
@@ -145,7 +147,10 @@
         };
     }
 
-    /** What needs no right to fill goes on where nothing newer can be known; copies that may have been purged do not. */
+    /**
+     * A request that needs no lease is forwarded even where nothing newer can be known; copies that may have been
+     * purged are not served.
+     */
     private boolean onStaleView() {
         if (route.route().anyShield()
                 && !hasMode(RouteMode.KEYED)
@@ -187,7 +192,7 @@
                 new ClientResponse(copy.status(), RequestOutcome.DONE, headers, copy.body()), request.range()));
     }
 
-    /** A flight serves whoever asks under its mark or an older one; a newer mark starts the next flight. */
+    /** A fill serves whoever asks under its versions or older ones; a newer version starts the next fill. */
     private boolean joinFill() {
         final CoalescedFill current = edge.fills().get(cacheKey);
         if (current != null && current.versions().covers(versions)) {
@@ -207,7 +212,7 @@
         return ledFill == null ? List.of(this) : ledFill.waiters();
     }
 
-    /** Overtaken by a newer flight: all who waited for this one wait for that. */
+    /** Superseded by a newer fill: all who waited for this one wait for that. */
     boolean handOver() {
         final CoalescedFill current = edge.fills().get(cacheKey);
         if (ledFill == null
@@ -221,7 +226,7 @@
         return true;
     }
 
-    /** Asked again under the mark of now; the flight's mark goes with it. */
+    /** Sent again under the present versions; the versions of the fill go with it. */
     void renewVersions() {
         versions = edge.view().versionsOf(route, request.path());
         if (ledFill != null
@@ -232,7 +237,7 @@
         }
     }
 
-    /** An origin's answer for all who wait; false where it was purged on its way and gives nothing to anybody. */
+    /** An origin's response for all who wait; false where it was purged meanwhile and answers nobody. */
     boolean onFilled(final long sentAt, final ForwardResponse filled) {
         if (!hasMode(RouteMode.CACHED) || filled.versions() == null) {
             final ClientResponse response =
@@ -265,7 +270,7 @@
         return true;
     }
 
-    /** When no fill can be had, a copy just past its lifetime is better than none, as long as the frame is sure. */
+    /** When no fill is possible, a copy just past its lifetime is served, as long as the view is confirmed. */
     private CachedResponse staleCopy() {
         return hasMode(RouteMode.CACHED)
                         && (edge.isViewFresh() || !route.route().purgeable())
@@ -275,7 +280,10 @@
                 : null;
     }
 
-    /** {@code mayHaveRun}: an earlier way may have sent it, so that no refusal can promise that it has not run. */
+    /**
+     * {@code mayHaveRun}: an earlier attempt may have reached an origin, so no rejection may claim that it was not
+     * executed.
+     */
     void finishAll(final ClientResponse response, final boolean mayHaveRun) {
         final ClientResponse finalResponse = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
                 ? ClientResponse.unsure("an earlier way may have sent it")
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
@@ -5,25 +5,28 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.data.origin.OriginDispatcher;
 
-/** Where an edge can send what it does not answer itself. */
+/** Where an edge can forward what it does not answer itself. */
 public interface EdgeRouting {
-    /** Shields that are heard of, the nearest first. */
+    /** Shields that are heard from, the nearest first. */
     List<NodeId> nearestShields();
 
+    /** Whether this shield was heard from of late. */
     boolean isHeard(NodeId id);
 
-    /** For how long nothing has been heard of it, in ms. */
+    /** How long nothing has been heard from this shield, in ms. */
     long silenceMs(NodeId id);
 
-    /** How many places objects are filled for, and which of them this edge is in. */
+    /** How many regions objects are filled for, and which of them this edge is in. */
     int regionCount();
 
     int region();
 
-    /** The way to origins for when no shield is heard of; null where there is none. */
+    /** Dispatches to origins when no shield is heard from; null where there is no such way. */
     OriginDispatcher directDispatcher();
 
-    /** No majority of electors can be heard from here: nothing newer can be known, so what needs no right goes on. */
+    /**
+     * No majority of voters is heard from: nothing newer can be known, so requests that need no lease are forwarded.
+     */
     boolean isWithoutQuorum();
 
     static EdgeRouting withoutShields(final Predicate<NodeId> heard) {
--- a/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Where an edge's requests may go, by what its node has heard of the others. */
+/** Where an edge's requests may go, derived from its node's membership. */
 public final class MembershipRouting implements EdgeRouting {
     private static final long MAX_SILENCE_MS = 1500;
     private final NodeSettings settings;
@@ -45,7 +45,7 @@
         return direct;
     }
 
-    /** Shields that are heard of: of the same zone first, then of the same region. */
+    /** Shields that are heard from: of the same zone first, then of the same region. */
     @Override
     public List<NodeId> nearestShields() {
         final String location = settings.self().location();
--- a/data/src/main/java/org/rowanvalve/data/edge/RequestAttempts.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/RequestAttempts.java
@@ -3,8 +3,8 @@
 import org.rowanvalve.data.limit.AttemptAllowance;
 
 /**
- * The origins that one request of a client may still be sent to, over all nodes. The edge that took the request keeps the
- * count: an attempt is reserved before a shield hears of it and comes back only if it surely was not made.
+ * The origins that one client request may still be sent to, over all nodes. The edge that received the request keeps
+ * the count: an attempt is reserved before a shield gets the request, and is released only if it surely was not made.
  */
 final class RequestAttempts {
     private final int allowed;
@@ -15,7 +15,7 @@
         this.left = allowed;
     }
 
-    /** Reserves one; 0 where none is left. */
+    /** Reserves one attempt; 0 where none is left. */
     int reserve() {
         if (left == 0) {
             return 0;
@@ -37,7 +37,7 @@
         return left < allowed;
     }
 
-    /** For sends of this node's own: each attempt comes out of the same count. */
+    /** For requests that this node sends itself: each attempt is taken from the same count. */
     AttemptAllowance localAllowance() {
         return AttemptAllowance.of(0, answer -> answer.accept(reserve()));
     }
--- a/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
@@ -24,17 +24,20 @@
 import org.rowanvalve.data.routing.ShardRouting;
 
 /**
- * A request's way from an edge to shields: to the holder of its shard where a right is needed, else through any shield.
- * The request's attempts are counted here, for all nodes together.
+ * Forwards a request from an edge to shields: to the lease holder of its shard where a lease is needed, else through
+ * any shield. The request's attempts are counted here, for all nodes together.
  */
 final class ShieldForwarding {
-    /** A shield of which nothing was heard for so long is passed by, in ms. */
+    /** Silence after which a shield is skipped, in ms. */
     private static final long MAX_SILENCE_MS = 650;
 
     private static final long WATCH_INTERVAL_MS = 100;
-    /** The part of its time for which a keyed request is kept while nobody may send it. */
+    /** The part of its time-out for which a keyed request waits while nobody may send it. */
     private static final double KEYED_PATIENCE = 0.4;
-    /** A read waits for a holder that may not fill for this part of its aim at most, or for this long without an aim. */
+    /**
+     * A read waits for a holder that may not fill for this part of its latency target at most, or for this long without
+     * one.
+     */
     private static final double HOLDER_PATIENCE_PART = 0.25;
 
     private static final long DEFAULT_HOLDER_PATIENCE_MS = 400;
@@ -47,13 +50,13 @@
     private final long marginMs;
     private final RequestAttempts attempts;
     private final Set<NodeId> askedShields = new HashSet<>();
-    /** How often a shield was asked that may have taken it up. */
+    /** Requests to shields that may have taken it up. */
     private int requestsSent;
-    /** Shields that have been asked to pass it through and have not answered. */
+    /** Shields that were asked to pass it through and have not answered. */
     private int openPassThroughs;
-    /** It goes on without the right to fill. */
+    /** It is passed through without a lease. */
     private boolean passingThrough;
-    /** A shield may have sent it to an origin and has not told its end. */
+    /** A shield may have sent it to an origin and has not reported the end. */
     private boolean mayHaveRun;
 
     ShieldForwarding(final Edge edge, final EdgeRequest request) {
@@ -86,7 +89,7 @@
             return added;
         }
 
-        /** Takes back what surely was not used. */
+        /** Releases the attempts that surely were not made. */
         private void settle(final Reply reply) {
             if (reply.failure() == Reply.Failure.NOT_SENT) {
                 attempts.giveBack(reserved);
@@ -123,7 +126,7 @@
         }
     }
 
-    /** {@code lastResponse}: what to answer where nobody may be asked any more. */
+    /** {@code lastResponse}: the response where no shield may be asked any more. */
     private void askHolder(final ClientResponse lastResponse) {
         if (!attempts.anyLeft() && !hasMode(RouteMode.KEYED)) {
             finish(lastResponse);
@@ -206,7 +209,7 @@
                 given);
     }
 
-    /** Where a shield falls silent, another passes a read through while there is time; the first answer counts. */
+    /** Where a shield does not answer, another passes a read through while there is time; the first response counts. */
     private void watchShield(final NodeId shield, final long sentAt, final BooleanSupplier answered) {
         edge.loop().schedule(WATCH_INTERVAL_MS, () -> {
             if (request.finished()
@@ -225,7 +228,7 @@
         });
     }
 
-    /** By any shield: for what needs no right to fill, or when nobody has the right. */
+    /** Forwards to any shield: for requests that need no lease, or when nobody holds it. */
     void passThrough(final ClientResponse fallback) {
         passingThrough = true;
         final NodeId shield = edge.routing().nearestShields().stream()
@@ -260,7 +263,10 @@
         watchShield(shield, sentAt, () -> answered[0]);
     }
 
-    /** No shield is heard of at all: it goes to an origin from here, within the part of the ceiling that is for this. */
+    /**
+     * No shield is heard from: it is sent to an origin from here, within the part of the rate limit that is meant for
+     * this.
+     */
     private void sendDirectly(final ClientResponse fallback) {
         final String service = route.route()
                 .pickService(Hash.hash64(
@@ -310,7 +316,7 @@
                 0);
     }
 
-    /** The answer of a shield that was asked to pass it through. */
+    /** The response of a shield that was asked to pass it through. */
     private void onPassThroughResponse(final Reply reply) {
         if (request.finished()) {
             return;
@@ -427,7 +433,7 @@
         }
     }
 
-    /** A refusal that a fresher plan may cure is tried again soon, at most twice; keyed ones while there is time. */
+    /** A rejection that a newer plan may resolve is retried soon, at most twice; keyed requests while there is time. */
     private void retry(final ClientResponse lastResponse) {
         if (request.finished() || request.handOver()) {
             return;
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedEntry.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedEntry.java
@@ -12,16 +12,16 @@
     private final String digest;
     private final long createdAt;
     private final List<Consumer<ForwardResponse>> waiting = new ArrayList<>();
-    /** A try of this key is under way here. */
+    /** An attempt of this key is in flight here. */
     boolean inProgress;
-    /** Nothing of the last try has left for an origin. */
+    /** Nothing of the last attempt was sent to an origin. */
     boolean notSent;
-    /** The outcome's body is being fetched from a keeper. */
+    /** The outcome's body is being fetched from a replica. */
     boolean fetching;
 
     long attemptId;
     KeyedOutcome outcome;
-    /** A try of another process, found at a keeper while this one's intent was being recorded. */
+    /** An attempt of another process, found at a replica while this one's intent was being recorded. */
     KeyedRecord foreignRecord;
 
     KeyedEntry(final String digest, final long createdAt) {
@@ -44,7 +44,7 @@
         return !inProgress && now - createdAt > retentionMs;
     }
 
-    /** The body stands at keepers only. */
+    /** Only replicas have the body. */
     boolean hasBodyElsewhere() {
         return outcome != null && !outcome.complete();
     }
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -27,7 +27,10 @@
 import org.rowanvalve.data.origin.OriginTransport;
 import org.rowanvalve.data.request.EndToEndHeaders;
 
-/** Keyed requests: the intent stands at a majority of keepers before a byte leaves for the origin. */
+/**
+ * Runs keyed requests at most once: an intent is synced at a majority of the record replicas before a byte is sent to
+ * the origin, and the outcome after it. Whoever holds the shard next reads a majority first, so it finds every intent.
+ */
 public final class KeyedRequests {
     private static final int ATTEMPT_BITS = 24;
     private static final long SWEEP_INTERVAL_MS = 10_000;
@@ -45,7 +48,7 @@
     private final Map<Integer, KeyedShard> shards = new HashMap<>();
     private long attemptSerial;
 
-    /** The sending itself, once the intent stands. */
+    /** Sends the request, once the intent is recorded. */
     @FunctionalInterface
     public interface Send {
         void send(Consumer<OriginDispatcher.Completion> then);
@@ -86,7 +89,7 @@
         return new ForwardResponse(fate, reason, status, token, Map.of(), new byte[0], 0, null, retryAfterMs);
     }
 
-    /** {@code patienceMs}: how long the request waits for the keepers to be read; it is refused when that is over. */
+    /** {@code patienceMs}: how long the request waits for the records to be read; it is rejected after that. */
     public void handle(
             final int shardNumber,
             final String key,
@@ -167,7 +170,7 @@
         }
     }
 
-    /** The key ran elsewhere: its outcome's body is fetched once for all who ask meanwhile. */
+    /** The key was executed elsewhere: its outcome's body is fetched once for all who ask meanwhile. */
     private void fetchOutcome(final KeyedShard shard, final String key, final KeyedEntry entry) {
         if (entry.fetching) {
             return;
@@ -242,7 +245,10 @@
         });
     }
 
-    /** Another process with the same token had a try of this key before: that one's fate counts, and is not told clear. */
+    /**
+     * Another process with the same token attempted this key before: that attempt decides, and is not marked as not
+     * sent.
+     */
     private void yieldToForeign(final KeyedShard shard, final KeyedEntry entry) {
         entry.inProgress = false;
         entry.notSent = false;
@@ -252,7 +258,9 @@
                 RequestOutcome.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0));
     }
 
-    /** Nothing left this node: it may run the key later, and so may the next holder once a keeper tells it so. */
+    /**
+     * Nothing was sent from this node: it may execute the key later, and so may the next holder once a replica says so.
+     */
     private void release(
             final KeyedShard shard, final String key, final KeyedEntry entry, final ForwardResponse response) {
         entry.inProgress = false;
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedShard.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedShard.java
@@ -10,7 +10,7 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** The keys of one shard under one token: what is known of each, and who waits until the keepers are read. */
+/** The keys of one shard under one token: what is known of each, and who waits until the records are read. */
 final class KeyedShard implements RecordReader.Listener {
     private static final int MAX_WAITERS = 128;
     private final int number;
@@ -19,7 +19,7 @@
     private final LongPredicate isOwnAttempt;
     private final Runnable onTimeout;
     private final Map<String, KeyedEntry> entries = new HashMap<>();
-    /** What keepers have told since this shard was last ready, by key. */
+    /** What replicas have reported since this shard was last ready, by key. */
     private final Map<String, List<KeyedRecord>> recordsRead = new HashMap<>();
 
     private final List<Waiter> waiting = new ArrayList<>();
@@ -31,7 +31,10 @@
 
     private record Waiter(Runnable action, Runnable rejection) {}
 
-    /** {@code isOwnAttempt}: whether a turn is one of this process; {@code onTimeout}: run when waiting was in vain, once a reading. */
+    /**
+     * {@code isOwnAttempt}: whether an attempt is one of this process; {@code onTimeout}: run when waiting was in vain,
+     * once for each reading.
+     */
     KeyedShard(
             final int number,
             final FencingToken token,
@@ -68,7 +71,9 @@
         entries.values().removeIf(entry -> entry.isExpired(loop.now(), retentionMs));
     }
 
-    /** Goes on once the keepers are read, or is refused when {@code patienceMs} is over; the reading goes on in any case. */
+    /**
+     * Continues once the records are read, or is rejected after {@code patienceMs}; the reading goes on in any case.
+     */
     void whenReady(final long patienceMs, final Runnable action, final Runnable rejection) {
         checkReady();
         if (ready) {
@@ -93,7 +98,7 @@
         }
     }
 
-    /** Another set of keepers counts from now on: it is read anew, whoever waits or not. */
+    /** Other replicas count from now on: they are read again, whether anybody waits or not. */
     void onVotingSetChange() {
         if (!closed) {
             reader.stop();
@@ -104,7 +109,7 @@
         }
     }
 
-    /** The right has moved on: nothing is read any more, and nobody waits. */
+    /** The lease has moved: nothing is read any more, and nobody waits. */
     void close() {
         closed = true;
         reader.stop();
@@ -153,7 +158,7 @@
         recordsRead.clear();
     }
 
-    /** A try of another process goes before this one's own knowledge, unless that one is told clear. */
+    /** An attempt of another process overrides this one's own knowledge, unless it is marked as not sent. */
     private void mergeRecord(final KeyedRecord record) {
         final KeyedEntry entry = entries.get(record.key());
         if (entry == null) {
--- a/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
@@ -10,7 +10,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Fetches one outcome with its body: the next keeper is asked when one has none, or is late. */
+/** Fetches one outcome with its body: the next replica is asked when one has none, or is late. */
 final class OutcomeFetch {
     private static final long TIMEOUT_MILLIS = 1500;
     private static final long HEDGE_DELAY_MS = 400;
@@ -23,7 +23,7 @@
     private int keepersAnswered;
     private boolean finished;
 
-    /** {@code callback} hears the outcome, or null where no keeper gave one. */
+    /** {@code callback} gets the outcome, or null where no replica has one. */
     OutcomeFetch(
             final EventLoop loop,
             final Transport transport,
@@ -41,7 +41,7 @@
         askNext(0);
     }
 
-    /** Asks the keeper at {@code index}, unless it was asked already. */
+    /** Asks the replica at {@code index}, unless it was asked already. */
     private void askNext(final int index) {
         if (finished || index != keepersAsked || index >= keepers.size()) {
             return;
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
@@ -22,9 +22,9 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Reads one shard's records from the keepers of one epoch, once for a token and for each keeper's era. Each keeper is asked for
- * itself, page by page, again after a growing pause, with growing patience: one that is late holds up no other, and
- * what another has answered counts on. However many requests wait, one question to each keeper is open at most.
+ * Reads one shard's records from the replicas of one epoch, once for a token and for each replica's era. Each replica
+ * is read by itself, page by page, with backoff and a growing time-out: one that is late delays no other, and pages
+ * that others have answered stay valid. However many requests wait, at most one request to each replica is open.
  */
 final class RecordReader {
     private static final long FIRST_TIMEOUT_MILLIS = 1000;
@@ -46,7 +46,7 @@
     private boolean stopped;
 
     interface Listener {
-        /** All records of one keeper, read in one era. */
+        /** All records of one replica, read in one era. */
         void onKeeperRead(List<KeyedRecord> notes);
 
         /** Something changed that {@link #isReady} may rest on. */
@@ -56,7 +56,7 @@
         void onSuperseded();
     }
 
-    /** How far one keeper has been read. */
+    /** How far one replica has been read. */
     private static final class KeeperRead {
         private final List<KeyedRecord> notes = new ArrayList<>();
         private boolean requested;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** {@code stillWanted}: whether the right to the shard is still had under this token. */
+    /** {@code stillWanted}: whether the shard is still held under this token. */
     RecordReader(
             final VotingConfiguration votingConfiguration,
             final EventLoop loop,
@@ -109,7 +109,7 @@
         startedAt = loop.now();
     }
 
-    /** Asks every keeper that is neither read nor being asked, nor waits for its next question. */
+    /** Asks every replica that is neither read, nor being asked, nor waiting for its next request. */
     void start() {
         if (!stopped) {
             readsByKeeper.forEach(this::requestPage);
@@ -121,7 +121,7 @@
         stopped = true;
     }
 
-    /** A keeper's era ended, or its reader is another one now: it alone is read again. */
+    /** A replica's era ended, or it has another reader now: only it is read again. */
     void readAgain(final NodeId keeper) {
         final KeeperRead read = readsByKeeper.get(keeper);
         if (read != null && read.eraKnown) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** A majority with memory was read whole, and every store that is heard from. */
+    /** A majority of replicas with complete records was read to the end, and every store that is heard from. */
     boolean isReady() {
         return quorum.isReadQuorum(completeKeepers())
                 && storeHealth.allReachableSynced(respondingKeepers(), loop.now() - startedAt);
@@ -157,7 +157,7 @@
         return keepers;
     }
 
-    /** In which era a keeper was read, or none where it is not read in its present one. */
+    /** The era in which a replica was read, or none where it is not read in its present one. */
     OptionalLong eraOf(final NodeId keeper) {
         final KeeperRead read = readsByKeeper.get(keeper);
         return read != null && read.eraKnown ? OptionalLong.of(read.era) : OptionalLong.empty();
@@ -222,7 +222,7 @@
         }
     }
 
-    /** A page that is late is asked again; with {@code fromStart} the keeper from its first page on. */
+    /** Requests a late page again; with {@code fromStart} the replica from its first page on. */
     private void retryLater(final NodeId keeper, final KeeperRead read, final boolean fromStart) {
         if (fromStart) {
             read.reset();
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
@@ -18,8 +18,8 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * One note on its way to the keepers: done at a majority and at every store that is heard from. Only keepers count that
- * are still in the era in which they were read; one that is not is read again, and where too few are left the note is
+ * Writes one record to the replicas: done at a majority and at every store that is heard from. Only replicas count that
+ * are still in the era in which they were read; one that is not is read again, and where too few are left the record is
  * written once more when enough of them are.
  */
 final class RecordWrite {
@@ -43,7 +43,7 @@
     private boolean superseded;
     private boolean finished;
 
-    /** {@code mayRepeat}: whether it is written once more after keepers have been read anew. */
+    /** {@code mayRepeat}: whether it is written once more after replicas have been read again. */
     RecordWrite(
             final VotingConfiguration votingConfiguration,
             final EventLoop loop,
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Another set of keepers counts now: what this one has acknowledged is handed over, and the new one is asked. */
+    /** Other replicas count now: what this set has acknowledged is handed over, and the new one is asked. */
     private void onVotingSetChange() {
         finished = true;
         shard.whenReady(VOTING_CHANGE_PATIENCE_MS, () -> repeat(mayRepeat), () -> callback.accept(false));
@@ -153,7 +153,7 @@
         shard.whenReady(timeoutMs, () -> repeat(false), () -> callback.accept(false));
     }
 
-    /** Not over another process's intent that came to light when the keepers were read anew. */
+    /** Not over another process's intent that was found when the replicas were read again. */
     private void repeat(final boolean mayRepeatAgain) {
         if (keyedRecord.outcome() == null && shard.entries().get(keyedRecord.key()).foreignRecord != null) {
             callback.accept(false);
--- a/data/src/main/java/org/rowanvalve/data/limit/AttemptAllowance.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/AttemptAllowance.java
@@ -4,8 +4,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * To how many origins one request may still be sent from this node. An attempt is committed before an origin is chosen for
- * it, so attempts that wait for a slot or for their pace count too; it is released only if surely no byte of it left.
+ * To how many origins one request may still be sent from this node. An attempt is committed before an origin is chosen
+ * for it, so attempts that wait for a slot or for the rate limit count too; it is released only if surely no byte of it
+ * was sent.
  */
 public final class AttemptAllowance {
     private final Consumer<IntConsumer> source;
@@ -27,7 +28,7 @@
         return new AttemptAllowance(granted, source);
     }
 
-    /** Commits an attempt, asking for one more where none is in hand; {@code callback} hears whether there is one. */
+    /** Commits an attempt, requesting one more where none is left; {@code callback} gets whether there is one. */
     public void commit(final Consumer<Boolean> callback) {
         if (committed < granted) {
             committed++;
@@ -42,6 +43,7 @@
         });
     }
 
+    /** Returns a committed attempt that surely was not made. */
     public void release() {
         committed--;
     }
@@ -51,6 +53,7 @@
         return committed > 0;
     }
 
+    /** Attempts that were given and surely were not made. */
     public int unused() {
         return granted - committed;
     }
--- a/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** Spaces sends to one content store by this holder's share of its rate; no burst is ever saved up. */
+/** Spaces requests to one content store by this holder's share of its rate; no burst is ever saved up. */
 public final class RateLimiter {
     private final Map<String, Double> nextFreeAt = new HashMap<>();
 
-    /** The wait until the slots taken, or empty where it would pass {@code maxWaitMs}. */
+    /** The wait until the slots taken, or empty where it would exceed {@code maxWaitMs}. */
     public OptionalLong take(
             final String bucket,
             final double rate,
--- a/data/src/main/java/org/rowanvalve/data/limit/RetryBudget.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/RetryBudget.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Extra tries to a service. Each first request earns a part of a try, time earns a little, and little can be saved:
- * so in any 10 s whatever, even when requests have just stopped, a fifth plus the small allowance is not passed.
+ * The retry budget of a service. Each first request earns a fraction of a retry, time earns a little, and little can be
+ * saved: so in any 10 s, even when requests have just stopped, a fifth plus the small allowance is not exceeded.
  */
 public final class RetryBudget {
     private double earnedPerRequest;
@@ -13,12 +13,12 @@
     private static final double WINDOW_MS = 10_000;
     private final Map<String, Balance> balances = new HashMap<>();
 
-    /** {@code ratio}: extra tries for each request; {@code slack}: beyond those, in any 10 s, over all senders. */
+    /** {@code ratio}: retries for each request; {@code slack}: beyond those, in any 10 s, over all senders. */
     public RetryBudget(final double ratio, final double slack) {
         setLimits(ratio, slack);
     }
 
-    /** From now on these hold; what was earned under the earlier ones is kept, up to the new bound. */
+    /** Replaces the bounds; what was earned under the earlier ones is kept, up to the new bound. */
     public void setLimits(final double ratio, final double slack) {
         earnedPerRequest = ratio * 0.9;
         maxSaved = slack * 0.4;
@@ -41,10 +41,12 @@
         });
     }
 
+    /** Counts a first request, which earns a fraction of a retry. {@code now}: monotonic ms. */
     public void recordFirst(final String service, final long now) {
         balanceOf(service, now).level += earnedPerRequest;
     }
 
+    /** Takes one retry, where the budget of this node, one of {@code senders}, has one left. */
     public boolean trySpend(final String service, final long now, final int senders) {
         final double maxLevel = maxSaved / Math.max(4, senders);
         final Balance balance = balanceOf(service, now);
--- a/data/src/main/java/org/rowanvalve/data/node/CoreComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/CoreComponents.java
@@ -127,7 +127,7 @@
         viewSynchronizer.start();
     }
 
-    /** Begins to look for a later voting set, where voters may change. */
+    /** Starts the search for a later voting set, where voters may change. */
     void startVotingSetSearch() {
         if (settings.votersMayChange()) {
             votingSetSearch.start();
--- a/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
+++ b/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
@@ -8,11 +8,11 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What a dispatcher of origin requests asks of the rest of its node. */
+/** What a dispatcher of origin requests needs from the rest of its node. */
 final class DispatcherSurroundings {
     private DispatcherSurroundings() {}
 
-    /** {@code peers}: the other shields that are heard from, for a shield. */
+    /** {@code peers}: for a shield, the other shields that are heard from. */
     static OriginDispatcher.Surroundings of(
             final NodeSettings settings, final CoreComponents core, final Supplier<List<NodeId>> peers) {
         return new OriginDispatcher.Surroundings(
--- a/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What an edge has: clients' requests, and a way to origins for when no shield is heard. */
+/** What an edge has: clients' requests, and a way to origins for when no shield is heard from. */
 final class EdgeComponents {
     private final OriginDispatcher dispatcher;
     private final Edge edge;
--- a/data/src/main/java/org/rowanvalve/data/node/FreezeDetector.java
+++ b/data/src/main/java/org/rowanvalve/data/node/FreezeDetector.java
@@ -8,7 +8,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.membership.ClockSkewMonitor;
 
-/** Ends a node's rights after a freeze, and while its clock's pace is beyond the margin. */
+/** Drops a node's leases after a pause of the process, and while its clock's rate is beyond the margin. */
 final class FreezeDetector {
     private static final long INTERVAL_MS = 100;
     private final EventLoop loop;
@@ -21,7 +21,7 @@
     private long lastCheckAt;
     private long wallOffset;
 
-    /** {@code onFreeze}: run after a freeze, before the rights are dropped. */
+    /** {@code onFreeze}: run after a pause, before the leases are dropped. */
     FreezeDetector(
             final EventLoop loop,
             final LongSupplier wallClock,
@@ -45,7 +45,7 @@
         loop.scheduleRepeatedly(INTERVAL_MS, this::check);
     }
 
-    /** A gap in this loop's own time, or a wall clock that ran on without it, is a freeze. */
+    /** A gap in this loop's own time, or a wall clock that ran on without it, is a pause of the process. */
     private void check() {
         final long now = loop.now();
         final long missingMs = now - lastCheckAt - INTERVAL_MS;
--- a/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -12,14 +12,14 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.edge.Edge;
 
-/** A node's orderly stop: no new callers, tenure given back, shards and vote handed over. */
+/** A node's graceful shutdown: no new clients, leadership resigned, shards and vote handed over. */
 final class GracefulShutdown {
     private static final long LINGER_MS = 100;
-    /** A leaving edge that still gets requests answers them: it ends once none has come for so long. */
+    /** A draining edge that still gets requests answers them: it ends once none has arrived for this time. */
     private static final long QUIET_MS = 250;
 
     private static final long HANDOVER_TIMEOUT_MILLIS = 2500;
-    /** How long a leaving voter waits for its replacement. */
+    /** How long a draining voter waits for its replacement. */
     private static final long REPLACEMENT_TIMEOUT_MILLIS = 3500;
 
     private final Node node;
@@ -56,7 +56,7 @@
         node.leader().ifPresentOrElse(components -> components.election().resign(continuation), continuation);
     }
 
-    /** An edge takes requests for a while longer, so that whoever sends them hears of the shutdown and turns elsewhere. */
+    /** An edge takes requests for a while longer, so that load balancers notice the shutdown and turn elsewhere. */
     private void closeEdge(final Edge edge, final long timeoutMs, final long deadline, final Runnable callback) {
         loop.schedule(Math.min(node.settings().drainNoticeMs(), timeoutMs), () -> {
             edge.close();
@@ -84,7 +84,10 @@
         }
     }
 
-    /** A shield's stop is heard once the plan no longer names it; with nobody to hear, it does not wait for long. */
+    /**
+     * A shield's shutdown is complete once the plan no longer names it; with nobody to report to, it does not wait for
+     * long.
+     */
     private boolean areShardsHandedOver() {
         if (node.shield().isEmpty()) {
             return true;
@@ -98,7 +101,7 @@
                 || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MILLIS;
     }
 
-    /** A voter stays until the set that no longer names it has taken over; without a standby it need not wait. */
+    /** A voter stays until the voting set without it has taken over; without a standby it need not wait. */
     private boolean isVoterReplaced() {
         if (!wasVoter || !node.settings().votersMayChange()) {
             return true;
--- a/data/src/main/java/org/rowanvalve/data/node/LeaderComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/LeaderComponents.java
@@ -12,14 +12,17 @@
 import org.rowanvalve.control.reconfiguration.VotingSetPlanner;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What a node has that may be elected: the election, and the duties that only the acting leader carries out. */
+/** What a node has that may be elected: the election, and the duties that only the leader carries out. */
 final class LeaderComponents {
     private final LeaseManager leaseManager;
     private final LeaderElection election;
     private final Optional<VotingSetPlanner> votingSetPlanner;
     private final TombstoneCollector tombstoneCollector;
 
-    /** {@code eligible}: whether this node may be elected now; {@code resumptions}: how often its state was the only one left. */
+    /**
+     * {@code eligible}: whether this node may be elected now; {@code resumptions}: how often its state was the only
+     * copy left.
+     */
     LeaderComponents(
             final NodeSettings settings,
             final Node.Runtime runtime,
--- a/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
+++ b/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
@@ -36,7 +36,7 @@
 import org.rowanvalve.common.message.VotersResponse;
 import org.rowanvalve.common.model.NodeId;
 
-/** Brings each message to the part of the node that it is for. */
+/** Dispatches each message to the part of the node that handles it. */
 final class MessageRouter {
     private final Node node;
     private final Consumer<ChosenItem> learner;
@@ -84,7 +84,7 @@
         return true;
     }
 
-    /** What concerns the records of keyed requests. An outcome is a fact in any epoch. */
+    /** Messages about records of keyed requests. An outcome may be given in any epoch. */
     private boolean routeToRecords(final Message message, final Consumer<Message> callback) {
         if (message instanceof RecordReadRequest request) {
             inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onRead(request, callback));
@@ -102,7 +102,7 @@
         return true;
     }
 
-    /** Records are kept in the present epoch only. */
+    /** Records are written in the present epoch only. */
     private void inCurrentEpoch(final long epoch, final Consumer<Message> callback, final Runnable answer) {
         node.acceptor().rejection(epoch).ifPresentOrElse(callback, answer);
     }
--- a/data/src/main/java/org/rowanvalve/data/node/Node.java
+++ b/data/src/main/java/org/rowanvalve/data/node/Node.java
@@ -41,7 +41,7 @@
 import org.rowanvalve.data.settings.ReloadableSettings;
 
 /**
- * One process's control and data plane, put together over its runtime; the programs and the simulator build the same.
+ * One process's control and data plane, assembled over its runtime; the programs and the simulator build the same.
  * Every node has the core; what else it has follows from its role. Everything here runs in the event loop's one thread.
  */
 public final class Node {
@@ -119,6 +119,7 @@
         return voter.map(v -> v.acceptor().resumptions()).orElse(0L);
     }
 
+    /** Reads the node's state from disk and begins its work. */
     public void start() throws StorageException {
         if (voter.isPresent()) {
             voter.get().start();
@@ -148,8 +149,8 @@
     }
 
     /**
-     * Seeds of changed settings are asked for the present voters from now on; whoever calls this has told the net their
-     * addresses. In the event loop.
+     * From now on the seeds of changed settings are asked for the present voters; the caller has given their addresses
+     * to the transport. In the event loop.
      */
     public void updateSeeds(final Map<NodeId, InetSocketAddress> seeds) {
         core.votingSetSearch.seeds(List.copyOf(seeds.keySet()));
@@ -163,16 +164,17 @@
         return statusMonitor.current();
     }
 
-    /** How ready, from 0 to 100, so that a platform can pick by it. */
+    /** Readiness from 0 to 100, so that a platform can choose by it. */
     public int readinessScore() {
         return statusMonitor.readinessScore();
     }
 
+    /** Handles a message of another node; {@code callback} gets the response, if there is one. In the event loop. */
     public void handle(final NodeId from, final Message message, final Consumer<Message> callback) {
         messageRouter.route(from, message, callback);
     }
 
-    /** Orderly: no new callers, shards handed over while the fence is confirmed, tenure given back. */
+    /** Graceful shutdown: no new clients, shards handed over while their fills are stopped, leadership resigned. */
     public void shutDown(final long timeoutMs, final Runnable callback) {
         shutdown.start(timeoutMs, callback);
         if (votingConfiguration().isVoter(settings.self().id())) {
--- a/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
+++ b/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
@@ -4,7 +4,7 @@
 import org.rowanvalve.common.model.NodeStatus;
 import org.rowanvalve.common.model.Role;
 
-/** How ready a node is, by what it holds and hears. */
+/** Readiness of a node, by what it holds and whom it hears from. */
 final class NodeStatusMonitor {
     private final Node node;
     private final BooleanSupplier draining;
@@ -35,7 +35,7 @@
         return stateComplete && holdsLease && hasShield ? NodeStatus.READY : NodeStatus.PARTIAL;
     }
 
-    /** From 0 to 100, so that a platform can pick by it. */
+    /** Readiness from 0 to 100, so that a platform can choose by it. */
     int readinessScore() {
         return switch (current()) {
             case READY -> 100 - Math.min(50, loadScore());
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -20,7 +20,7 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** What one node believes, as JSON, for operators and for the comparison of two nodes. */
+/** The state of one node, as JSON, for operators and for the comparison of two nodes. */
 public final class StatusReport {
     private final Node node;
 
@@ -28,6 +28,7 @@
         this.node = node;
     }
 
+    /** The part named by {@code topic}, as JSON. */
     public String describe(final String topic) {
         if (topic.startsWith("item ")) {
             final Item item = node.items().get(ItemId.parse(topic.substring(5)));
--- a/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
@@ -13,7 +13,9 @@
 import org.rowanvalve.control.view.ViewServer;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What a node has that votes or may be called to: the voter, its records of keyed requests, and what they need. */
+/**
+ * What a node has that votes or may become a voter: the acceptor, its records of keyed requests, and what they need.
+ */
 final class VoterComponents {
     private static final long COLLECTION_INTERVAL_MS = 1000;
     private final EventLoop loop;
--- a/data/src/main/java/org/rowanvalve/data/node/VoterLinks.java
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterLinks.java
@@ -17,7 +17,9 @@
 import org.rowanvalve.control.voting.VotingSetSearch;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What the present voting set means for a node's links: where heartbeats go, and where the voters are reached. */
+/**
+ * What the present voting set means for a node's connections: where heartbeats go, and where the voters are reached.
+ */
 final class VoterLinks {
     private static final long MAX_SILENCE_MS = 1500;
     private final NodeSettings settings;
@@ -58,7 +60,7 @@
         });
     }
 
-    /** The other shields that are heard of. */
+    /** The other shields that are heard from. */
     List<NodeId> otherShields() {
         return membership.liveMembers(Role.SHIELD).stream()
                 .map(Member::id)
@@ -66,7 +68,7 @@
                 .toList();
     }
 
-    /** The lease authority puts operators' calls in order, so that several at once are one write of the ledger. */
+    /** The leader sequences operators' updates, so that several at once are one write of the ledger. */
     Optional<NodeId> updateSequencer(final Item leadershipItem) {
         final Leadership current = Leadership.of(leadershipItem);
         if (current.leader().isEmpty() || current.released()) {
@@ -78,7 +80,7 @@
                 : Optional.of(id);
     }
 
-    /** A shield that does not vote is not the lease authority either. */
+    /** A shield that does not vote is not the leader either. */
     boolean mayLead(final Acceptor acceptor) {
         return !settings.votersMayChange() || acceptor.isVoting();
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/DemandCounter.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/DemandCounter.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.rowanvalve.common.message.ShardDemand;
 
-/** Sends that were wanted, by service and shard, since they were last asked for. */
+/** Requests to origins that were wanted, by service and shard, since they were last read. */
 final class DemandCounter {
     private final Map<String, Map<Integer, Integer>> counts = new HashMap<>();
 
--- a/data/src/main/java/org/rowanvalve/data/origin/LoadExchange.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/LoadExchange.java
@@ -8,7 +8,10 @@
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.Origin;
 
-/** Tells the other shields how many requests this one has at each origin: soon where slots are few, else now and then. */
+/**
+ * Reports to the other shields how many requests this one has at each origin: soon where slots are few, else at
+ * intervals.
+ */
 final class LoadExchange {
     static final long INTERVAL_MS = 500;
     private static final long PROMPT_DELAY_MS = 4;
