--- a/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
@@ -6,7 +6,7 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.control.config.Origin;
 
-/** One request sent to one origin, from the last check of its right until the answer or the end of the connection. */
+/** One request sent to one origin, from the last check of its lease until the response or the end of the connection. */
 final class OriginAttempt {
     private final OriginDispatcher dispatcher;
     private final OriginDispatch dispatch;
@@ -80,7 +80,7 @@
                         sent.key() == null ? "" : sent.key()));
     }
 
-    /** Asked right before the bytes are written. */
+    /** Checked right before the bytes are written. */
     private boolean mayWrite() {
         final long now = dispatcher.loop().now();
         return dispatcher.mayUse(request.shard(), request.service())
@@ -138,7 +138,7 @@
         return wasOpen;
     }
 
-    /** The right to send has ended: the connection is closed, and nobody can know whether the request ran. */
+    /** The lease has ended: the connection is closed, and nobody can know whether the request was executed. */
     void abort() {
         if (closeOnce(false, OriginTransport.Load.NONE)) {
             exchange.abort();
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
@@ -13,16 +13,16 @@
 import org.rowanvalve.control.config.Service;
 
 /**
- * One request on its way from this node to origins of its service: which origin next, in turn and within the share of the
- * rate, until one has answered. Each send needs an attempt of the request's allowance, each but the first also one of the
- * service's retry budget.
+ * One request on its way from this node to origins of its service: which origin next, in turn and within the share of
+ * the rate, until one has answered. Each send needs an attempt of the request's allowance, each but the first also one
+ * of the service's retry budget.
  */
 public final class OriginDispatch {
-    /** How many origins may turn out to be unreachable. */
+    /** How many origins may be unreachable before it is given up. */
     private static final int MAX_UNREACHABLE = 6;
 
     private static final long RETRY_AFTER_MS = 1000;
-    /** Refusals that no other node would spare: the reasons that edges see. */
+    /** Rejections that every node would give: the reasons that edges see. */
     static final String ORIGINS_BUSY = "every origin is busy";
 
     public static final String RATE_EXHAUSTED = "the rate of the service is spent";
@@ -36,7 +36,7 @@
     private int unreachable;
     /** Origins that may have got it. */
     private int reached;
-    /** Sends that are under way. */
+    /** Sends in flight. */
     private int openSends;
     /** Attempts for which an origin is being looked for, or which wait for their turn. */
     private int pendingAttempts;
@@ -62,7 +62,7 @@
         return dispatcher.loop();
     }
 
-    /** Whether a refusal for this reason holds for all nodes, so that asking another one is of no use. */
+    /** Whether a rejection for this reason holds for all nodes, so that asking another one is of no use. */
     public static boolean noNodeCanSend(final String reason) {
         return reason.equals(ORIGINS_BUSY) || reason.equals(RATE_EXHAUSTED);
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    /** The committed attempt is not made: nothing of it has left. */
+    /** The committed attempt is not made: nothing of it was sent. */
     private void abandon(final String reason, final long retryAfterMs) {
         pendingAttempts--;
         request.attempts().release();
@@ -170,7 +170,7 @@
         abandon(RATE_EXHAUSTED, Math.max(RETRY_AFTER_MS, soonest));
     }
 
-    /** No origin has a free slot: waits its turn, or is refused at once where the turn would come too late. */
+    /** No origin has a free slot: it waits its turn, or is rejected at once where the turn would come too late. */
     private void enqueue(final Map<ItemId, Origin> candidates, final long now) {
         final WaitQueue waitQueue = dispatcher.waitQueue();
         final double meanMs = dispatcher.load().meanMs(candidates, now);
@@ -235,7 +235,10 @@
         new OriginAttempt(dispatcher, this, id, origin).send(isRetry);
     }
 
-    /** Not answered for long: what may run more than once is tried elsewhere too, and the first answer counts. */
+    /**
+     * Hedging: an idempotent request that is not answered for long is sent elsewhere too, and the first response
+     * counts.
+     */
     void onSlow() {
         if (!finished && !request.atMostOnce() && pendingAttempts == 0 && loop().now() < request.deadline()) {
             attempt(true);
@@ -272,7 +275,7 @@
         }
     }
 
-    /** Nothing left: another origin may be asked at once if only this one may not. */
+    /** Nothing was sent: another origin may be asked at once if only this one is unavailable. */
     private void onBarred(final OriginTransport.OriginResponse response) {
         pendingAttempts++;
         reached--;
@@ -283,7 +286,7 @@
         }
     }
 
-    /** An origin that could not be reached got no request: its attempt is still to be made, and is no extra one. */
+    /** An origin that could not be reached got no request: its attempt is still to be made, and is no retry. */
     private void onUnreachable(final OriginTransport.OriginResponse response, final long sentAt) {
         pendingAttempts++;
         reached--;
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
@@ -23,7 +23,7 @@
 import org.rowanvalve.data.limit.RetryBudget;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Every request to an origin leaves a node through here; the right to send is checked at the last moment. */
+/** Every request to an origin leaves a node through here; the lease is checked at the last moment. */
 public final class OriginDispatcher {
     private static final int MAX_WAITING = 256;
     private final NodeSettings settings;
@@ -48,8 +48,9 @@
             OriginTransport.OriginResponse response, boolean mayHaveRun, long sentAt, long retryAfterMs) {}
 
     /**
-     * {@code withoutQuorum}: no majority can be heard from; {@code peers}: the other shields that are heard from; {@code edgeCount}, {@code
-     * shields}: how many were ever heard of, those included that may be cut off and go on sending.
+     * {@code withoutQuorum}: no majority of voters is heard from; {@code peers}: the other shields that are heard from;
+     * {@code edgeCount}, {@code shields}: how many were ever heard from, including those that may be partitioned and go
+     * on sending.
      */
     public record Surroundings(
             BooleanSupplier viewFresh,
@@ -91,13 +92,14 @@
                 LoadExchange.INTERVAL_MS, () -> configuration.serviceNames().forEach(this::drainQueue));
     }
 
-    /** Takes the bounds on extra tries from the settings that hold now; an edge has none of its own. */
+    /** Takes the retry bounds from the present settings; an edge has none of its own. */
     public void reload() {
         if (!settings.hasRole(Role.EDGE)) {
             retryBudget.setLimits(settings.retryRatio(), settings.retrySlack());
         }
     }
 
+    /** Sends a request to origins of its service until one answers, within its deadline and attempts. */
     public void send(final OriginRequest request, final Consumer<Completion> callback) {
         new OriginDispatch(this, request, callback).start();
     }
@@ -111,13 +113,14 @@
         return leases.mayFill(shard) && surroundings.viewFresh().getAsBoolean() && configuration.hasService(service);
     }
 
+    /** Requests sent to origins and not ended. */
     public int inFlight() {
         return waitingForRate
                 + waitQueue.size()
                 + attemptsByShard.values().stream().mapToInt(Set::size).sum();
     }
 
-    /** For the holder's fence: sends in flight get the grace, then their connections are closed. */
+    /** Stops the fills of a shard: requests in flight get the grace time, then their connections are closed. */
     public void stop(final int shard, final long grace, final Consumer<Boolean> done) {
         if (attemptsByShard(shard).isEmpty()) {
             done.accept(true);
@@ -129,7 +132,7 @@
         });
     }
 
-    /** Another shield's requests at origins. */
+    /** Another shield's number of requests at origins. */
     public void onLoadReport(final NodeId from, final LoadReport report) {
         load.onReport(from, report.requestsByOrigin(), loop.now());
         configuration.serviceNames().forEach(this::drainQueue);
@@ -141,7 +144,7 @@
         }
     }
 
-    /** What was wanted since this was last asked. */
+    /** The demand since this was last read. */
     public List<ShardDemand> drainDemand() {
         return demand.drain();
     }
@@ -163,7 +166,7 @@
                         .count()));
     }
 
-    /** The sends under way by the right of a shard. */
+    /** The requests in flight under the lease of a shard. */
     Set<OriginAttempt> attemptsByShard(final int shard) {
         return attemptsByShard.computeIfAbsent(shard, k -> new HashSet<>());
     }
@@ -172,7 +175,7 @@
         return shard == OriginRequest.NO_SHARD ? "none" : leases.token(shard).toString();
     }
 
-    /** For a request that came without a name. */
+    /** A name for a request that came without one. */
     String newRequestId() {
         return settings.self().id().text() + "-" + settings.self().incarnation() + "-" + ++requestSerial;
     }
@@ -205,12 +208,12 @@
         return rateLimitShare;
     }
 
-    /** A first send to a service: it earns a part of an extra one. */
+    /** A first request to a service: it earns a fraction of a retry. */
     void recordFirst(final String service) {
         retryBudget.recordFirst(service, loop.now());
     }
 
-    /** Whether an extra send to a service may be made now; it is taken as made. */
+    /** Whether a retry to a service may be made now; it is counted as made. */
     boolean trySpendRetry(final String service) {
         return retryBudget.trySpend(
                 service,
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginLoad.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginLoad.java
@@ -10,8 +10,8 @@
 import org.rowanvalve.control.config.Origin;
 
 /**
- * What is known of each origin's load: this node's own requests there, other nodes' as they tell them, the load that the
- * origin told, how long it takes, and whether it has failed of late. Times are milliseconds of this node's clock.
+ * The known load of each origin: this node's own requests there, other nodes' as they report them, the load that the
+ * origin reported, its response time, and whether it has failed of late. Times are milliseconds of this node's clock.
  */
 final class OriginLoad {
     private static final long REPORT_MAX_AGE_MS = 1500;
@@ -72,7 +72,7 @@
         }
     }
 
-    /** It failed or does not answer: asked last for a while, longer each time. */
+    /** It failed or does not answer: ejected for a while, longer each time. */
     void onFailure(final ItemId id, final long now) {
         final Statistics statistic = statisticsOf(id);
         if (statistic.ejectedUntil <= now) {
@@ -91,7 +91,7 @@
         return !hasEnded.isEmpty() && hasEnded.contains(id.name() + "|" + origin.instance());
     }
 
-    /** After a failure it is tried by one request at a time until one is answered. */
+    /** After a failure it gets one request at a time until one is answered. */
     boolean isEjected(final ItemId id, final long now) {
         final Statistics statistic = statistics.get(id);
         return statistic != null && (statistic.ejectedUntil > now || statistic.failures > 0 && statistic.inFlight > 0);
@@ -132,7 +132,7 @@
         return sum;
     }
 
-    /** How long one request takes there, by those answered and by the oldest that is not. */
+    /** Response time there, by requests that were answered and by the oldest that is not. */
     double meanMs(final ItemId id, final long now) {
         final Statistics statistic = statistics.get(id);
         if (statistic == null) {
@@ -174,7 +174,7 @@
         return slash >= 0 && origin.location().startsWith(location.substring(0, slash + 1)) ? 3 : 90;
     }
 
-    /** Expected time until an answer; those that failed of late come after all others. */
+    /** Expected time until a response; origins that failed of late come after all others. */
     private double expectedMs(
             final ItemId id, final Origin origin, final long warmUpMs, final double mean, final long now) {
         final double oneMs = meanMs(id, now) > 0 ? meanMs(id, now) : mean;
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginRequest.java
@@ -3,9 +3,10 @@
 import org.rowanvalve.data.limit.AttemptAllowance;
 
 /**
- * One request for an origin. {@code shard}: whose right it needs, {@link #NO_SHARD} for one that needs none; {@code atMostOnce}:
- * bytes sent are never sent again; {@code deadline}: on this node's clock; {@code priority}: 0 is refused last; {@code attempts}:
- * origins it may be sent to; {@code retry}: an origin may have got it before, from here or from another node.
+ * One request for an origin. {@code shard}: whose lease it needs, {@link #NO_SHARD} for one that needs none; {@code
+ * atMostOnce}: bytes sent are never sent again; {@code deadline}: on this node's clock, in ms; {@code priority}: 0 is
+ * rejected last; {@code attempts}: origins it may be sent to; {@code retry}: an origin may have got it before, from
+ * here or from another node.
  */
 public record OriginRequest(
         int shard,
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginResponseValidator.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginResponseValidator.java
@@ -4,7 +4,7 @@
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.control.config.Origin;
 
-/** What an origin's answer must show before any caller may see it as a success. */
+/** Checks what an origin's response must contain before any client may get it as a success. */
 public final class OriginResponseValidator {
     public static final String INSTANCE_HEADER = "rv-stamp";
     public static final String REQUEST_HEADER = "rv-request";
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.rowanvalve.control.config.Origin;
 
-/** The way to origins. Nothing reaches an origin that is not the announced one. */
+/** Sends requests to origins. Nothing reaches an origin that is not the announced one. */
 public interface OriginTransport {
     /** {@code NOT_EXECUTED}: the origin said that it did not run the request. */
     enum ExchangeResult {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** What an origin told of its load with an answer; {@code slots} 0 where it told nothing. */
+    /** The load that an origin reported with a response; {@code slots} 0 where it reported none. */
     record Load(int running, int waiting, int slots) {
         public static final Load NONE = new Load(0, 0, 0);
     }
@@ -71,18 +71,21 @@
 
     @FunctionalInterface
     interface Exchange {
+        /** Closes the connection; the request may have been executed. */
         void abort();
     }
 
-    /** Asked in the last step before the request's bytes are written. */
+    /** Checked in the last step before the request's bytes are written. */
     @FunctionalInterface
     interface Permission {
+        /** Whether the bytes may be written now. */
         boolean mayWrite();
     }
 
+    /** Sends one request to one origin; {@code then} is called once, in the event loop. */
     Exchange send(Origin origin, OutboundRequest request, Permission gate, Consumer<OriginResponse> then);
 
-    /** What an answer lacks to be shown to a caller; empty where it lacks nothing. */
+    /** What a response lacks to be given to a client; empty where it lacks nothing. */
     default String error(final Origin origin, final OutboundRequest sent, final OriginResponse response) {
         return OriginResponseValidator.error(origin, sent, response.headers(), response.body());
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
@@ -9,9 +9,14 @@
 import org.rowanvalve.data.limit.RateLimiter;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** This node's part of a service's ceiling or of its origins' rates, and when the next request may leave within it. */
+/**
+ * This node's share of a service's rate limit or of its origins' rates, and when the next request may leave within it.
+ */
 final class RateLimitShare {
-    /** The parts of a ceiling for holders' fills, for what shields pass through, and for edges that hear no shield. */
+    /**
+     * The parts of a rate limit for holders' fills, for requests that shields pass through, and for edges that hear
+     * from no shield.
+     */
     private static final double FILLS_PART = 0.8;
 
     private static final double PASS_THROUGH_PART = 0.1;
@@ -23,7 +28,7 @@
     private final IntSupplier senderCount;
     private final ToDoubleFunction<String> weightOf;
 
-    /** {@code weightOf}: this holder's part of the rate of the service named. */
+    /** {@code weightOf}: this holder's share of the rate of the service named. */
     RateLimitShare(
             final NodeSettings settings,
             final IntSupplier edgeCount,
@@ -36,8 +41,8 @@
     }
 
     /**
-     * The wait until a request may leave for this origin, or empty where that would be too late for it. What is less urgent
-     * may wait for less long, so where the ceiling is short it is turned away first.
+     * The wait until a request may leave for this origin, or empty where that would be too late for it. Less urgent
+     * requests may wait for less long, so they are rejected first where the limit is short.
      */
     OptionalLong reserve(final Service service, final ItemId origin, final OriginRequest request, final long now) {
         final String name = request.service();
@@ -62,7 +67,7 @@
         return (long) Math.min(Math.min(LONGEST_WAIT_MS, longestMs), request.deadline() - now);
     }
 
-    /** What this node's fills leave over is for what it passes through, and the other way round. */
+    /** What this node's fills leave unused is for what it passes through, and the other way round. */
     private double partOf(final String service) {
         return isEdge
                 ? EDGES_PART / edgeCount.getAsInt()
--- a/data/src/main/java/org/rowanvalve/data/origin/WaitQueue.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/WaitQueue.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Requests that wait for a free slot at any origin of their service: the higher rank first, then the earlier. */
+/** Requests that wait for a free slot at any origin of their service: the higher priority first, then the earlier. */
 final class WaitQueue {
     private static final int CAPACITY = 256;
     private final Map<String, PriorityQueue<Place>> queues = new HashMap<>();
@@ -17,7 +17,7 @@
     /** {@code canGo}: whether it could go now; {@code action} is run once when the turn has come. */
     record Place(int priority, long sequence, BooleanSupplier canGo, Runnable action) {}
 
-    /** How many go before one of this rank. */
+    /** How many are served before one of this priority. */
     int countAhead(final String service, final int priority) {
         final PriorityQueue<Place> queue = queues.get(service);
         return queue == null
--- a/data/src/main/java/org/rowanvalve/data/request/ByteRange.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ByteRange.java
@@ -6,12 +6,16 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One part of a whole copy, where its first byte is named; any other wish gets the whole, as HTTP allows. */
+/**
+ * One range of a complete response, where its first byte is named; any other Range header gets the whole, as HTTP
+ * allows.
+ */
 public final class ByteRange {
     private static final Pattern SINGLE_RANGE = Pattern.compile("bytes=([0-9]{1,15})-([0-9]{0,15})");
 
     private ByteRange() {}
 
+    /** The requested part with 206 or 416, or the whole where the header names no single range. */
     public static ClientResponse apply(final ClientResponse whole, final String requested) {
         final Matcher matcher =
                 requested == null || whole.status() != 200 ? null : SINGLE_RANGE.matcher(requested.trim());
--- a/data/src/main/java/org/rowanvalve/data/request/ClientRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ClientRequest.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * A caller's request. {@code requestId}: the caller's own name for this try, empty where it gave none; {@code timeoutMs}: how much
- * longer the caller waits, 0 where it did not say; {@code range}: its wish for a part, or null.
+ * A client's request. {@code requestId}: the client's own name for this attempt, empty where it gave none; {@code
+ * timeoutMs}: how much longer the client waits, 0 where it did not say; {@code range}: the part it asks for, or null.
  */
 public record ClientRequest(
         String method,
--- a/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
@@ -13,10 +13,12 @@
         this(status, fate, headers, body, 0);
     }
 
+    /** Not executed and never will be; {@code retryMs}: when to come back, in ms. */
     public static ClientResponse reject(final int status, final String reason, final long retryMs) {
         return create(status, RequestOutcome.REFUSED, reason, retryMs);
     }
 
+    /** 504: it may have been executed or not. */
     public static ClientResponse unsure(final String reason) {
         return create(504, RequestOutcome.UNKNOWN, reason, 0);
     }
--- a/data/src/main/java/org/rowanvalve/data/request/EndToEndHeaders.java
+++ b/data/src/main/java/org/rowanvalve/data/request/EndToEndHeaders.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.rowanvalve.data.origin.OriginResponseValidator;
 
-/** The headers of an origin's answer that go on to the caller. */
+/** The headers of an origin's response that are forwarded to the client. */
 public final class EndToEndHeaders {
     /** Headers that concern one connection, or that say what another member says already. */
     private static final Set<String> CONNECTION_HEADERS = Set.of(
@@ -23,6 +23,7 @@
 
     private EndToEndHeaders() {}
 
+    /** Those of an origin's headers that are forwarded. */
     public static Map<String, String> of(final Map<String, String> headers) {
         final Map<String, String> endToEnd = new TreeMap<>(headers);
         endToEnd.keySet().removeAll(CONNECTION_HEADERS);
--- a/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
@@ -9,15 +9,15 @@
 public final class ShardRouting {
     private ShardRouting() {}
 
-    /** An object's or operation's name; the same on every node. */
+    /** The name of an object or operation; the same on every node. */
     public static String cacheKey(final ConfiguredRoute route, final String path, final String key) {
         return route.route()
                 .cacheKeyOf(route.name(), route.route().hasMode(RouteMode.KEYED) && key != null ? "#" + key : path);
     }
 
     /**
-     * Objects belong to one of the shards of the place that asks, so that what a place reads is filled there; operations to
-     * one of all, whoever asks.
+     * Objects belong to one of the shards of the region that asks, so that what a region reads is filled there;
+     * operations to one of all shards, whoever asks.
      */
     public static int shardOf(
             final ConfiguredRoute route,
--- a/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
+++ b/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
@@ -12,7 +12,7 @@
 import org.rowanvalve.control.record.RecordRetention;
 import org.rowanvalve.control.voting.Quorum;
 
-/** What a process is told about its place; {@code reloadable} is what may change while it runs. */
+/** The settings of a process; {@code reloadable} is what may change while it runs. */
 public record NodeSettings(
         Member self,
         List<NodeId> seeds,
@@ -50,7 +50,7 @@
         return quorum.contains(self.id());
     }
 
-    /** Whether the voters are chosen by ballot; where stores are named, they stay the stated ones. */
+    /** Whether the voters are chosen by ballot; where stores are named, they stay the configured ones. */
     public boolean votersMayChange() {
         return quorum.stores().isEmpty();
     }
@@ -60,12 +60,12 @@
         return isFoundingVoter() || votersMayChange() && hasRole(Role.SHIELD);
     }
 
-    /** Stores arbitrate; where no voter is named a store, every voter has a disk and does. */
+    /** Whether this node may lead: stores do; where no voter is named a store, every voter has a disk and may. */
     public boolean arbitrates() {
         return hasRole(Role.STORE) || votersMayChange() && mayVote();
     }
 
-    /** Which place a cell is in; the first where it is in none. */
+    /** The index of a cell's region; the first where it is in none. */
     @Override
     public int indexOf(final String cell) {
         final List<String> regions = regions();
@@ -152,7 +152,7 @@
             return this;
         }
 
-        /** How long a leaving edge still takes requests, so that those who send them can turn elsewhere. */
+        /** How long a draining edge still takes requests, so that load balancers can turn elsewhere. */
         public Builder drainNoticeMs(final long milliseconds) {
             drainNoticeMs = milliseconds;
             return this;
@@ -182,7 +182,7 @@
             return this;
         }
 
-        /** Extra tries: a part of the requests to a service, and a number beside, in any 10 s over all nodes. */
+        /** Retries: a fraction of the requests to a service, and a number besides, in any 10 s over all nodes. */
         public Builder retryLimits(final double ratio, final double slackPerWindow) {
             retryRatio = ratio;
             retrySlack = slackPerWindow;
--- a/data/src/main/java/org/rowanvalve/data/shield/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -34,10 +34,12 @@
 import org.rowanvalve.data.routing.ShardRouting;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Answers edges: from its cache, by one fill for many, straight through, or once only. */
+/**
+ * Answers edges: from its cache, by one fill for many, by passing a request through, or by executing it at most once.
+ */
 public final class Shield {
     private static final int MAX_WAITERS = 512;
-    /** How long a keyed request waits at most for the keepers to be read. */
+    /** How long a keyed request waits at most for the records to be read. */
     private static final long KEYED_PATIENCE_MS = 1500;
     /** How long an edge has to say whether one more attempt may be made, in ms. */
     private static final long GRANT_TIMEOUT_MILLIS = 300;
@@ -64,7 +66,7 @@
         }
     }
 
-    /** A request as an edge asked it, with the attempts that this node may make for it. */
+    /** A request as an edge sent it, with the attempts that this node may make for it. */
     private record ForwardedRequest(ForwardRequest forward, AttemptAllowance attempts) {}
 
     public Shield(
@@ -107,7 +109,10 @@
                         request.attempts() == null ? answer : answer.withUnusedAttempts(attempts.unused())));
     }
 
-    /** For how long a request waits until this node knows what its edge knows; a read for a quarter of its aim at most. */
+    /**
+     * How long a request waits until this node knows what its edge knows; a read for a quarter of its latency target at
+     * most.
+     */
     private long patienceMs(final ForwardRequest request) {
         final long targetMs = configuration
                 .routeNamed(request.route())
@@ -179,7 +184,7 @@
         }
     }
 
-    /** What needs no right to fill, or is passed through unkept while nobody has the right. */
+    /** Requests that need no lease, or are passed through uncached while nobody holds it. */
     private void passThrough(
             final ForwardedRequest call,
             final ConfiguredRoute route,
@@ -285,7 +290,7 @@
         });
     }
 
-    /** Without the right to fill, what is cached is served on, for as long as an object's change allows. */
+    /** Without a lease, what is cached is still served, for as long as the route allows a stale copy. */
     private CachedResponse usableCopy(final ForwardRequest request, final String key, final VersionVector versions) {
         return (leases.mayFill(request.shard())
                         ? cache.findFresh(key, loop.now(), versions)
--- a/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
@@ -21,7 +21,9 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.server.process.Main;
 
-/** The operators' command: 0 done, 1 different, 2 usage or could not ask, 3 refused, 4 outcome unknown. */
+/**
+ * The operators' command. Exit status: 0 done, 1 different, 2 usage or no connection, 3 rejected, 4 outcome unknown.
+ */
 public final class ControlCommand {
     private static final String USAGE = """
         rwctl [--at IP:PORT] [--json] COMMAND
--- a/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import org.rowanvalve.common.model.FencingToken;
 
-/** Where two nodes' beliefs differ, which is newer, and whether that is lag or contradiction. */
+/** Where the states of two nodes differ, which is newer, and whether that is lag or contradiction. */
 public final class NodeDiff {
     /** One difference between what two nodes hold. */
     public record Difference(String what, String left, String right, String newer, String kind) {
--- a/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ClientHandler.java
@@ -12,7 +12,7 @@
 import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** Callers' side of an edge. */
+/** The clients' interface of an edge. */
 public final class ClientHandler extends Handler.Abstract {
     private static final int LIMIT = 1 << 20;
     private final CoreEventLoop loop;
--- a/server/src/main/java/org/rowanvalve/server/http/ConnectionLimit.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ConnectionLimit.java
@@ -9,16 +9,16 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Bounds the connections that an address holds at once: beyond it the ones that have rested the longest are closed, so that
- * whoever comes new is accepted at once instead of waiting for a descriptor. One with a request under way is never closed
- * for this; where there are only such, a quarter more are accepted and the others closed unread, so that they turn elsewhere.
- * Safe for use by several threads.
+ * Bounds the connections that an address holds at once: beyond it the ones that have been idle the longest are closed,
+ * so that a new one is accepted at once instead of waiting for a file descriptor. A connection with a request in flight
+ * is never closed for this; where there are only such, a quarter more are accepted and the others closed unread, so
+ * that their clients turn elsewhere. Thread-safe.
  */
 final class ConnectionLimit implements Connection.Listener {
     private static final int BUSY_BEYOND = 4;
     private final int most;
     private final Set<Connection> open = new HashSet<>();
-    /** In the order in which they began to rest. */
+    /** In the order in which they became idle. */
     private final LinkedHashSet<Connection> idle = new LinkedHashSet<>();
 
     ConnectionLimit(final int most) {
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -28,7 +28,7 @@
 import org.rowanvalve.data.node.StatusReport;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** What operators, origins and the platform ask of any node. */
+/** The HTTP interface of any node for operators, origins and the platform. */
 public final class ControlApi extends Handler.Abstract {
     private static final int BODY_LIMIT = 1 << 20;
     private final CoreEventLoop loop;
@@ -262,7 +262,7 @@
         }
     }
 
-    /** The stated version, and the version in force on every node that answers. */
+    /** The declared version, and the version in force on every node that answers. */
     private void withVersionsInForce(final ItemId id, final Consumer<ApiResponse> callback) {
         node.configurationService().inContact(() -> node.configurationService().getItem(id), stated -> {
             if (stated.status() == 503) {
--- a/server/src/main/java/org/rowanvalve/server/http/HeaderLimit.java
+++ b/server/src/main/java/org/rowanvalve/server/http/HeaderLimit.java
@@ -4,9 +4,9 @@
 import org.eclipse.jetty.server.Request;
 import org.rowanvalve.control.config.RequestLimits;
 
-/** The stated limit of a request's head. */
+/** The configured limit of a request's headers, in bytes. */
 public final class HeaderLimit {
-    /** No more can be stated, and no more is read. */
+    /** The largest limit that can be configured, and the most that is read. */
     public static final int MOST = 1 << 20;
 
     private static final int FIELD = 4;
--- a/server/src/main/java/org/rowanvalve/server/log/DeferredLogManager.java
+++ b/server/src/main/java/org/rowanvalve/server/log/DeferredLogManager.java
@@ -2,7 +2,7 @@
 
 import java.util.logging.LogManager;
 
-/** Keeps the handlers until the orderly stop has said its last word. */
+/** Keeps the log handlers open until a graceful shutdown has logged its last entry. */
 public final class DeferredLogManager extends LogManager {
     private static volatile boolean over;
 
--- a/server/src/main/java/org/rowanvalve/server/log/EventLog.java
+++ b/server/src/main/java/org/rowanvalve/server/log/EventLog.java
@@ -12,7 +12,10 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.server.thread.ThreadGuard;
 
-/** The log duty: events leave by a ring; as JSON lines on standard output or through the logger. */
+/**
+ * Writes the log in a thread of its own: events arrive through a ring buffer and leave as JSON lines on standard output
+ * or through the logger.
+ */
 public final class EventLog {
     private static final Logger LOG = Logger.getLogger("rowanvalve");
     private final ArrayBlockingQueue<Line> ring = new ArrayBlockingQueue<>(16_384);
--- a/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
+++ b/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
@@ -8,7 +8,9 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** One line an entry: moment, level, text. The library's own asks each caller's stack for its name. */
+/**
+ * One line for each entry: time, level, text. The formatter of the library walks the stack of each caller for its name.
+ */
 public final class LogLineFormatter extends Formatter {
     public static void use() {
         final LogLineFormatter line = new LogLineFormatter();
--- a/server/src/main/java/org/rowanvalve/server/net/ConnectionListener.java
+++ b/server/src/main/java/org/rowanvalve/server/net/ConnectionListener.java
@@ -12,7 +12,9 @@
 import org.rowanvalve.common.event.EventCode;
 import org.rowanvalve.common.event.EventJournal;
 
-/** Takes up the connections that peers open; one that cannot be accepted never ends the wire. Wire thread only. */
+/**
+ * Accepts the connections that peers open; one that cannot be accepted never ends the transport. Transport thread only.
+ */
 final class ConnectionListener {
     /** How long the next connections wait after one that could not be accepted. */
     private static final long PAUSE_NS = 200_000_000;
@@ -40,7 +42,7 @@
         return ((InetSocketAddress) channel.getLocalAddress()).getPort();
     }
 
-    /** Without a free descriptor nothing more is accepted for a while; those who wait are taken up then. */
+    /** Without a free file descriptor nothing more is accepted for a while; waiting connections are accepted then. */
     Optional<SelectionKey> accept() {
         try {
             final SocketChannel accepted = channel.accept();
--- a/server/src/main/java/org/rowanvalve/server/net/PeerConnection.java
+++ b/server/src/main/java/org/rowanvalve/server/net/PeerConnection.java
@@ -8,11 +8,14 @@
 import java.util.function.Consumer;
 import org.rowanvalve.common.message.MessageCodec;
 
-/** One TCP circuit between processes: frames are a length and a CBOR envelope. Wire thread only. */
+/** One TCP connection between processes: each message is a length and a CBOR envelope. Transport thread only. */
 final class PeerConnection {
-    /** How long a connect may take before another one is worth more than TCP's own repeats, which come after 1, 3 and 7 s. */
+    /**
+     * Time-out of a connect: after it, a new connect is better than TCP's own retransmissions, which come after 1, 3
+     * and 7 s.
+     */
     static final long CONNECT_TIMEOUT_MILLIS = 300;
-    /** How long an ask may meet no byte at all from the peer before the next one takes another connection. */
+    /** How long a request may get no byte at all from the peer before the next one takes another connection. */
     static final long SILENCE_TIMEOUT_MILLIS = 1000;
 
     private static final long NONE = -1;
@@ -47,12 +50,15 @@
         this.dialedAt = now;
     }
 
-    /** An ask is sent that the peer is expected to answer. */
+    /** A request is sent that the peer is expected to answer. */
     void onRequestSent(final long now) {
         unansweredSince = unansweredSince == NONE ? now : unansweredSince;
     }
 
-    /** Whether the peer has left a connect, or an ask, without a sign for too long: what follows goes elsewhere. */
+    /**
+     * Whether the peer has not reacted to a connect, or a request, for too long: later messages take another
+     * connection.
+     */
     boolean isUnresponsive(final long now) {
         return channel.isConnected()
                 ? unansweredSince != NONE && now - unansweredSince >= SILENCE_TIMEOUT_MILLIS
@@ -63,7 +69,7 @@
         return channel.isConnected();
     }
 
-    /** No new frames; it stays open for the answers that are still awaited on it. */
+    /** No new messages; it stays open for the answers that are still awaited on it. */
     void retire() {
         retired = true;
     }
--- a/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
@@ -28,9 +28,9 @@
 import org.rowanvalve.server.thread.CoreEventLoop;
 import org.rowanvalve.server.thread.ThreadGuard;
 
-/** The wire duty: one selector thread for all circuits. */
+/** The transport between processes: one selector thread for all connections. */
 public final class TcpTransport implements Transport {
-    /** How long to wait before a full ring is tried again. */
+    /** Pause before a full ring buffer is tried again. */
     private static final long QUEUE_RETRY_MS = 10;
 
     private final NodeId self;
@@ -105,7 +105,7 @@
         thread.start();
     }
 
-    /** From now on another part answers. */
+    /** Replaces the handler of received messages. */
     public void setHandler(final Transport.Handler recipient) {
         handler = recipient;
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Other ways to peers, in place of the earlier ones; connections that stand are kept. */
+    /** Replaces the addresses of peers; open connections are kept. */
     public void setFixedRoutes(final Map<NodeId, InetSocketAddress> routes) {
         fixedRoutes = Map.copyOf(routes);
     }
@@ -156,7 +156,7 @@
         loop.schedule(timeoutMs, () -> scheduleTimeout(id));
     }
 
-    /** Without it an ask might never end, so it is offered until it is taken. */
+    /** Without it a request might never end, so it is offered until it is taken. */
     private void scheduleTimeout(final long id) {
         if (taskQueue.offer(() -> onTimeout(id))) {
             selector.wakeup();
@@ -170,7 +170,7 @@
         send(List.of(recipient), message);
     }
 
-    /** Packed once for all. */
+    /** Encoded once for all receivers. */
     @Override
     public void send(final Collection<NodeId> recipient, final Message message) {
         if (recipient.contains(self)) {
@@ -198,7 +198,7 @@
 
     /**
      * The connection for what is sent now. One on which the peer has been silent for too long is left to the answers
-     * that may still come on it: after a cut or a loss of power TCP itself would send again only seconds later.
+     * that may still come on it: after a partition or a loss of power, TCP itself would retransmit only seconds later.
      */
     private PeerConnection connectionTo(final NodeId recipient) {
         final PeerConnection connection = connections.get(recipient);
@@ -383,7 +383,7 @@
         }
     }
 
-    /** An answer counts only on the connection that its question went out on; one that comes late is for nobody. */
+    /** An answer counts only on the connection that its request went out on; a late one is dropped. */
     private void onResponse(final PeerConnection connection, final MessageCodec.Frame frame) {
         final PendingRequest pending = pendingRequests.get(frame.inReplyTo());
         if (pending != null && pending.connection != connection) {
@@ -393,7 +393,7 @@
         }
     }
 
-    /** Who asked is told at once where the answer is larger than a frame may be. */
+    /** The requester gets an error at once where the answer is larger than a message may be. */
     private void respond(final PeerConnection connection, final long requestId, final Message message) {
         final byte[] frameBytes =
                 MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 0, requestId, self, message));
--- a/server/src/main/java/org/rowanvalve/server/net/TrafficMeter.java
+++ b/server/src/main/java/org/rowanvalve/server/net/TrafficMeter.java
@@ -2,7 +2,7 @@
 
 import org.rowanvalve.common.message.Message;
 
-/** Hears of each frame that goes out or comes in, with its size; from any thread. */
+/** Receives the size of each message that is sent or received; from any thread. */
 public interface TrafficMeter {
     TrafficMeter NONE = new TrafficMeter() {
         @Override
--- a/server/src/main/java/org/rowanvalve/server/options/AddressParser.java
+++ b/server/src/main/java/org/rowanvalve/server/options/AddressParser.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.json.JsonObjectReader;
 
-/** Reads {@code IP:PORT} and {@code ID@IP:PORT}; whatever is wrong becomes a fault at its place. */
+/** Reads {@code IP:PORT} and {@code ID@IP:PORT}; whatever is wrong becomes an error at its place. */
 final class AddressParser {
     static final String NODE_NAME = "[a-z0-9][a-z0-9-]{0,40}";
 
@@ -20,7 +20,7 @@
         this.shape = shape;
     }
 
-    /** An address to listen at, where port 0 stands for any free one; null where there is none or a fault. */
+    /** An address to listen at, where port 0 stands for any free one; null where there is none or an error. */
     InetSocketAddress own(final String option, final String text) {
         return address(option, text, 0);
     }
--- a/server/src/main/java/org/rowanvalve/server/options/OptionFlags.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionFlags.java
@@ -9,14 +9,16 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 
-/** The options that can be stated on the command line, with their help, and how their texts become values. */
+/** The options of the command line with their help, and how their texts become values. */
 public final class OptionFlags {
     /** The flag that names the file with the other options. */
     static final String FILE = "options";
 
     private static final String NUMBER = "-?[0-9]{1,15}([.][0-9]{1,6})?";
 
-    /** What a flag's text stands for; a text that does not fit stays a text, which the check then rejects. */
+    /**
+     * The value of a flag's text; a text of the wrong type stays a text, which {@link OptionValidator} then rejects.
+     */
     private enum Kind {
         TEXT(text -> text),
         LIST(text -> text.isEmpty() ? List.of() : List.of((Object[]) text.split(","))),
--- a/server/src/main/java/org/rowanvalve/server/options/OptionSource.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionSource.java
@@ -25,12 +25,12 @@
         this.file = Options.file(words);
     }
 
-    /** Null where there are faults. */
+    /** Null where there are errors. */
     public Options read(final List<ValidationError> faults) {
         return Options.read(role, words, faults);
     }
 
-    /** One look at the options' file; the same for ever where there is none. */
+    /** The state of the options' file now; the same for ever where there is none. */
     public Stamp stamp() {
         if (file == null) {
             return Stamp.NONE;
--- a/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
@@ -14,7 +14,7 @@
 import org.rowanvalve.control.record.RecordRetention;
 import org.rowanvalve.control.voting.Quorum;
 
-/** Checks the members of the options' file and the flags as one whole; all faults are found before any is told. */
+/** Checks the members of the options' file and the flags as a whole; all errors are found before any is reported. */
 final class OptionValidator {
     private static final long MAX_MS = 600_000;
     private static final long MIN_LEASE_MS = 3000;
@@ -27,11 +27,11 @@
     private static final double DEFAULT_RETRY_RATIO = 0.2;
     private static final double DEFAULT_RETRY_SLACK = 60;
     private static final long DEFAULT_STOP_MS = 8000;
-    /** How much earlier than its kill a stop is over. */
+    /** How much earlier than the kill a shutdown has to be over. */
     private static final long STOP_MARGIN_MS = 1500;
 
     private static final long MIN_STOP_MS = 500;
-    /** A frame never counts for longer. */
+    /** The upper bound of the view's age. */
     private static final long MAX_VIEW_AGE_MS = 1500;
 
     private final Role role;
@@ -40,7 +40,7 @@
     private final JsonObjectReader object;
     private final AddressParser addresses;
 
-    /** Who votes: by name, with which of them being stores, and how many losses they bear. */
+    /** The founding voters: their names, which of them are stores, and how many losses they tolerate. */
     private record Voters(Map<NodeId, InetSocketAddress> founders, List<NodeId> stores, int toleratedLosses) {
         int maxLosses() {
             return founders.size() - founders.size() / 2 - 1;
@@ -59,7 +59,7 @@
         this.addresses = new AddressParser(object);
     }
 
-    /** Null where anything is wrong; the faults then say what. */
+    /** Null where anything is wrong; the errors then say what. */
     Options validate() {
         final InetSocketAddress peerAddress = addresses.own("wire", object.text("wire", true, ""));
         final String id = id(peerAddress);
--- a/server/src/main/java/org/rowanvalve/server/options/Options.java
+++ b/server/src/main/java/org/rowanvalve/server/options/Options.java
@@ -20,8 +20,8 @@
 import org.rowanvalve.data.settings.ReloadableSettings;
 
 /**
- * What a process is told about its place: from a JSON file and from flags, flags first. {@code OptionFlags} lists the
- * flags, {@code OptionChecks} checks the whole; {@code docs/CONFIG.md} says what each means.
+ * The options of a process: from a JSON file and from flags, flags first. {@link OptionFlags} lists the flags, {@link
+ * OptionValidator} checks the whole; {@code docs/CONFIG.md} says what each means.
  */
 public record Options(
         NodeId id,
@@ -51,13 +51,16 @@
         String voterShortage,
         int descriptors,
         long keyWindowMs) {
-    /** Descriptors that are left to files, and to sockets other than those of callers: to peers, origins, own addresses. */
+    /**
+     * File descriptors that are left to files, and to sockets other than those of clients: to peers, origins, own
+     * addresses.
+     */
     private static final int FILE_DESCRIPTORS = 200;
 
     private static final int PEER_DESCRIPTORS = 36;
     private static final int MIN_CLIENT_CONNECTIONS = 8;
 
-    /** Null where there are faults. */
+    /** Null where there are errors. */
     public static Options read(final Role role, final String[] args, final List<ValidationError> errors) {
         final OptionSet given = parse(args, errors);
         if (given == null) {
@@ -103,7 +106,7 @@
         }
     }
 
-    /** The same place once it is known who votes. */
+    /** The same options once the voters are known. */
     public Options withFounders(final Map<NodeId, InetSocketAddress> founders) {
         return new Options(
                 id,
@@ -135,7 +138,7 @@
                 keyWindowMs);
     }
 
-    /** How many connections of callers may be open at once. */
+    /** How many connections of clients may be open at once. */
     public int maxClientConnections() {
         return descriptors == 0
                 ? Integer.MAX_VALUE
@@ -153,12 +156,12 @@
                 toleratedLosses);
     }
 
-    /** Whether every elector has a disk, so that the set of them is kept and learned, not stated. */
+    /** Whether every voter has a disk, so that the voting set is stored and learned, not configured. */
     public boolean votersAreLearned() {
         return quorum.stores().isEmpty();
     }
 
-    /** The electors as {@code ID@IP:PORT}. */
+    /** The voters as {@code ID@IP:PORT}. */
     public List<String> founderAddresses() {
         return founders.entrySet().stream()
                 .map(entry -> entry.getKey() + "@" + entry.getValue().getHostString() + ":"
@@ -174,7 +177,7 @@
                 .orElse(zone);
     }
 
-    /** The seeds and electors with their addresses. */
+    /** The seeds and voters with their addresses. */
     public Map<NodeId, InetSocketAddress> knownAddresses() {
         final Map<NodeId, InetSocketAddress> map = new TreeMap<>(seeds);
         map.putAll(founders);
--- a/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
@@ -22,7 +22,7 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.data.origin.OriginTransport;
 
-/** Circuits to origins over Jetty's client. Core thread only, but for Jetty's call-backs, which post. */
+/** Sends requests to origins over Jetty's client. Core thread only, except for Jetty's call-backs, which post to it. */
 public final class HttpOriginTransport implements OriginTransport {
     private static final int BODY_LIMIT = 4 << 20;
     private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD");
@@ -114,7 +114,10 @@
                             false))));
         }
 
-        /** A read without a key may be sent again elsewhere; of all else it must be known whether it ran. */
+        /**
+         * An idempotent request without a key may be sent again elsewhere; of all others it must be known whether they
+         * were executed.
+         */
         private boolean isRepeatable() {
             return request.key() == null && SAFE_METHODS.contains(request.method());
         }
@@ -214,7 +217,10 @@
             finish(response, succeeded && response.result() != ExchangeResult.INVALID);
         }
 
-        /** What cannot be told to be this request's whole answer is none, and its connection is not used again. */
+        /**
+         * A response that cannot be shown to be complete and of this request is discarded, and its connection is
+         * closed.
+         */
         private OriginResponse toResponse(final Result result, final byte[] body) {
             final Map<String, String> headers = new TreeMap<>();
             for (final HttpField field : result.getResponse().getHeaders()) {
--- a/server/src/main/java/org/rowanvalve/server/origin/IdleConnections.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/IdleConnections.java
@@ -8,16 +8,19 @@
 import org.eclipse.jetty.client.Connection;
 
 /**
- * Idle connections to origins, and for how long one may have rested to be used again: less than the origin states, less
- * than connections of its service were seen to be forgotten after, and hardly at all for a request that must not run twice.
- * Times are milliseconds of the caller's clock.
+ * Idle connections to origins, and how long one may have been idle to be used again: less than the origin states, less
+ * than the idle time after which connections of its service were seen to be forgotten, and hardly at all for a request
+ * that must not run twice. Times are milliseconds of the caller's clock.
  */
 final class IdleConnections {
-    /** The longest rest where an origin states no other. */
+    /** The longest idle time where an origin states none. */
     static final long LONGEST_REST = 8000;
-    /** The longest rest before a request that must not be repeated: a reset then leaves open whether it ran. */
+    /**
+     * The longest idle time before a request that must not be repeated: after a reset it is not known whether it was
+     * executed.
+     */
     static final long REST_BEFORE_ONCE = 100;
-    /** For how long a forgotten connection bounds the rest of the others of its service. */
+    /** How long a forgotten connection bounds the idle time of the others of its service. */
     static final long LEARNED_FOR = 30_000;
 
     /** Below it a connection is in use rather than idle. */
@@ -35,7 +38,7 @@
 
     private record Learned(long rest, long until) {}
 
-    /** A connection to send on, and how long it has rested. */
+    /** A connection to send on, and how long it has been idle. */
     record Rested(Connection connection, long rest) {}
 
     /** The one that was used last, or null where none is fresh enough. {@code site} names one start of an origin. */
@@ -67,7 +70,7 @@
         }
     }
 
-    /** A request of this service was lost {@code after} ms on a connection that had rested before. */
+    /** A request of this service was lost {@code after} ms on a connection that had been idle before. */
     void lost(final String service, final long rest, final long after, final long now) {
         if (rest > SHORTEST_REST && after <= PROMPT) {
             final long bound = Math.max(SHORTEST_REST, Math.min(rest, bound(service, now)) / 2);
@@ -80,7 +83,7 @@
         return l == null || now >= l.until() ? LONGEST_REST : l.rest();
     }
 
-    /** A second less than the origin says, so that no request meets its end. */
+    /** A second less than the origin says, so that no request meets its closing. */
     private static long longest(final String stated) {
         final Matcher matcher = stated == null ? null : STATED.matcher(stated);
         return matcher != null && matcher.find()
--- a/server/src/main/java/org/rowanvalve/server/origin/OriginHttpClient.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/OriginHttpClient.java
@@ -9,8 +9,8 @@
 import org.rowanvalve.server.http.HeaderLimit;
 
 /**
- * The HTTP client for origins: it sends what it is given, once, and gives back what came. It follows nothing, answers no
- * challenge, asks for no encoding and takes none off, and keeps no cookie.
+ * The HTTP client for origins. It sends each request once and returns the response as it came: it follows no redirect,
+ * answers no authentication challenge, asks for no content encoding and decodes none, and keeps no cookie.
  */
 @SuppressWarnings("try") // Jetty's client declares that its close() may be interrupted.
 public final class OriginHttpClient extends HttpClient {
--- a/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
@@ -6,9 +6,9 @@
 import org.rowanvalve.control.config.Origin;
 import org.rowanvalve.data.origin.OriginTransport;
 
-/** How origins are spoken to: by which headers a request names itself, and what an answer says of itself. */
+/** The protocol of origins: the headers by which a request names itself, and what a response says of itself. */
 public interface OriginProtocol {
-    /** Whether a new connection asks who the origin is before its first request. */
+    /** Whether a new connection identifies the origin before its first request. */
     boolean asksForIdentity();
 
     void writeHeaders(Origin origin, OriginTransport.OutboundRequest request, BiConsumer<String, String> put);
@@ -17,9 +17,9 @@
     OriginTransport.OriginResponse read(
             Origin origin, OriginTransport.OutboundRequest request, int status, Map<String, String> heads, byte[] body);
 
-    /** What a sound answer states, given the request's headers by name; for rehearsals in this process only. */
+    /** The headers of a valid response, given the request's headers by name; for the warm-up in this process only. */
     Map<String, String> warmupHeaders(UnaryOperator<String> heads);
 
-    /** What an answer lacks to be shown to a caller; empty where it lacks nothing. */
+    /** What a response lacks to be given to a client; empty where it lacks nothing. */
     String error(Origin origin, OriginTransport.OutboundRequest request, OriginTransport.OriginResponse response);
 }
--- a/server/src/main/java/org/rowanvalve/server/origin/PlainTextConnector.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/PlainTextConnector.java
@@ -3,7 +3,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
-/** Origins are spoken to in plain HTTP, so nothing of TLS is loaded. */
+/** Origins are reached by plain HTTP, so no TLS classes are loaded. */
 public final class PlainTextConnector extends ClientConnector {
     private static final class Unused extends SslContextFactory.Client {
         @Override
--- a/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
+++ b/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
@@ -5,8 +5,8 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP asks a process to read its options again. Without a handler the JVM takes it for a stop, so each program
- * calls {@link #install} before anything else; a signal that comes before anybody waits for it is kept.
+ * SIGHUP makes a process read its options again. Without a handler the JVM ends on it, so each program calls {@link
+ * #install} before anything else; a signal that arrives before anybody waits for it is kept.
  */
 public final class HangupSignal {
     private static final Semaphore RECEIVED = new Semaphore(0);
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -36,8 +36,9 @@
 import org.rowanvalve.server.thread.CoreEventLoop;
 
 /**
- * Two shields and one edge inside this process, with a clock, a wire and an origin of their own: what a request runs
- * through has run before the first caller comes. Nothing of it leaves the process, and it ends in time.
+ * Warms up a starting process: two shields and one edge inside this process, with a clock, a transport and an origin of
+ * their own, run requests through the code that clients' requests will use. Nothing of it leaves the process, and it
+ * ends in time.
  */
 final class InProcessWarmup {
     private static final NodeId SHIELD = NodeId.of("rehearsal-shield");
@@ -50,10 +51,10 @@
         "i":{"host":"rehearsal.invalid","prefix":"/i/","service":"s","mode":"status","timeoutMs":1000,"aimMs":100,"tries":2,"any":true,"version":1},
         "k":{"host":"rehearsal.invalid","prefix":"/k/","service":"s","mode":"once","timeoutMs":1000,"aimMs":100,"tries":2,"any":true,"version":1}}},"drop":{}}
         """;
-    /** By its own clock a rehearsal is set up after 3 s or so; one that is not by then never will be. */
+    /** By its own clock a warm-up is set up after about 3 s; one that is not by then never will be. */
     private static final long MAX_SETUP_MS = 20_000;
 
-    /** How long a rehearsed request may take, as its route and its caller say; on a busy machine the first ones do. */
+    /** Time-out of a warm-up request, for its route and its client; on a busy machine the first ones take long. */
     private static final long REQUEST_TIMEOUT_MILLIS = 1000;
 
     private final CountDownLatch finished = new CountDownLatch(1);
@@ -68,13 +69,15 @@
     private final Node edge;
     private int completed;
 
-    /** {@code sent}: how a request is put to the rehearsed edge. */
+    /** {@code sent}: sends a request to the edge of the warm-up. */
     @FunctionalInterface
     interface Caller {
         void call(ClientRequest request, Runnable then) throws IOException;
     }
 
-    /** {@code originTransports} gives the way to the origin, or null where that stands in this process's memory only. */
+    /**
+     * {@code originTransports} gives the transport to the origin, or null where that is in this process's memory only.
+     */
     InProcessWarmup(
             final Options options,
             final OriginProtocol protocol,
@@ -120,7 +123,7 @@
                 new EventJournal(loop, 64));
     }
 
-    /** Between the two, each message is packed and read as on the wire. */
+    /** Between the two, each message is encoded and decoded as between processes. */
     private final class InProcessTransport implements Transport {
         private final NodeId self;
 
@@ -228,7 +231,9 @@
                                         q -> awaitReady()));
     }
 
-    /** The clock is stopped here, in the loop's own thread, before anybody is told: else it runs on meanwhile. */
+    /**
+     * The clock is stopped here, in the loop's own thread, before anybody is notified: else it would run on meanwhile.
+     */
     private void awaitReady() {
         if (edge.configuration().routesByPrecedence().size() == 3
                 && edge.edge().isAble()
--- a/server/src/main/java/org/rowanvalve/server/process/Main.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Main.java
@@ -13,7 +13,7 @@
 import org.rowanvalve.server.options.OptionSource;
 import org.rowanvalve.server.options.Options;
 
-/** {@code rwstore}, {@code rwshield} and {@code rwedge}: the first word says which. */
+/** The programs {@code rwstore}, {@code rwshield} and {@code rwedge}: the first argument says which. */
 public final class Main {
     public static final String VERSION = "0.1.0";
 
@@ -58,7 +58,7 @@
         }
     }
 
-    /** The HTTP library's own chatter is not the product's log. */
+    /** Keeps the HTTP library's messages out of the log. */
     public static void quiet() {
         LogLineFormatter.use();
         JETTY.setLevel(java.util.logging.Level.WARNING);
--- a/server/src/main/java/org/rowanvalve/server/process/OptionWatcher.java
+++ b/server/src/main/java/org/rowanvalve/server/process/OptionWatcher.java
@@ -14,11 +14,11 @@
 import org.rowanvalve.server.thread.ThreadGuard;
 
 /**
- * Reads the options again after SIGHUP, or once their file has changed. They are checked whole; with a fault the
- * earlier ones hold. One thread of its own does this, as reading a file may take its time.
+ * Reads the options again after SIGHUP, or once their file has changed. They are checked as a whole; with an error the
+ * earlier ones stay in force. A thread of its own does this, as reading a file may take time.
  */
 final class OptionWatcher {
-    /** How often the file is looked at without a signal. */
+    /** How often the file is checked without a signal. */
     private static final long LOOK_MS = 2000;
 
     private final OptionSource source;
@@ -29,7 +29,7 @@
     private OptionSource.Stamp read;
     private OptionSource.Stamp seen;
 
-    /** Hears of options that now hold; called in the watcher's thread, and once when it is added. */
+    /** Receives options that are now in force; called in the watcher's thread, and once when it is added. */
     @FunctionalInterface
     interface SettingsListener {
         void changed(Options now);
@@ -50,7 +50,7 @@
         thread.start();
     }
 
-    /** The options read last without a fault; only their live ones are in force before the next start. */
+    /** The options last read without an error; only the reloadable ones are in force before the next start. */
     Options current() {
         return current;
     }
--- a/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
@@ -26,7 +26,7 @@
 import org.rowanvalve.server.storage.VolatileStorage;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** How one process is put together. */
+/** Dagger's bindings for one process. */
 @Module
 public final class ProcessModule {
     private final String boot;
@@ -40,7 +40,7 @@
         this.originProtocol = originProtocol;
     }
 
-    /** Before the node is put together. {@code present}: the chosen set that votes now, or null where none is known. */
+    /** Before the node is assembled. {@code present}: the chosen set that votes now, or null where none is known. */
     public void setVoters(final Options current, final ChosenItem present) {
         options = current;
         votingSet = present;
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -30,7 +30,7 @@
 import org.rowanvalve.server.storage.SqliteStorage;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** One process: the planes over their real seams, with what it shows to the outside. */
+/** One process: control and data plane over network, disk and log, with its HTTP interfaces. */
 public final class Program {
     private final OptionSource source;
     private final Options options;
@@ -40,14 +40,14 @@
     /** What a handler may use of the process. */
     public record ProcessContext(CoreEventLoop loop, Node node, Transport net, Options options) {}
 
-    /** How the outside is spoken to; the product's own way, or an adapter's. */
+    /** The HTTP interfaces of the process; the product's own, or an adapter's. */
     public interface Frontends {
         OriginProtocol originProtocol();
 
-        /** The headers by which a caller's request states itself; for rehearsals in this process only. */
+        /** The headers by which a client's request describes itself; for the warm-up in this process only. */
         Map<String, String> requestHeaders(ClientRequest request);
 
-        /** For callers, at the option {@code door}. */
+        /** For clients, at the option {@code door}. */
         Handler clientHandler(ProcessContext context);
 
         /** For the further addresses of the option {@code faces}, by name. */
@@ -92,7 +92,7 @@
         this.startupTimer = startupTimer;
     }
 
-    /** Starts the process; returns once it takes requests. Each phase rests on the ones before it. */
+    /** Starts the process; returns once it takes requests. Each phase depends on the ones before it. */
     public void run() throws StorageException, IOException, InterruptedException {
         final String incarnation = UUID.randomUUID().toString().substring(0, 8);
         final ProcessModule module = new ProcessModule(options, incarnation, frontends.originProtocol());
@@ -149,7 +149,9 @@
         optionWatcher.listen(current -> updateAddresses(current, components.net()));
     }
 
-    /** The options with the voters that this node goes by; waits until some node tells, where they are not known here. */
+    /**
+     * The options with the voters that this node goes by; waits until some node answers, where they are not known here.
+     */
     private Options findVoters(
             final ProcessModule module, final ProcessComponent components, final OptionWatcher optionWatcher)
             throws StorageException, InterruptedException {
--- a/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
+++ b/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
@@ -26,8 +26,9 @@
 import org.rowanvalve.server.thread.CoreEventLoop;
 
 /**
- * Who votes: the seeds, when the network is started for the first time; later what this node's disk says, or what any
- * node that can be reached says. The seeds of a later start may be others, so they are asked and not believed.
+ * Finds the voters: the seeds, when the network is started for the first time; later what this node's disk says, or
+ * what any reachable node answers. The seeds of a later start may be other nodes, so they are asked and do not count as
+ * voters themselves.
  */
 final class VoterDiscovery {
     private static final String ROW = "seats";
--- a/server/src/main/java/org/rowanvalve/server/process/WarmupRequests.java
+++ b/server/src/main/java/org/rowanvalve/server/process/WarmupRequests.java
@@ -20,7 +20,10 @@
 import org.rowanvalve.server.options.Options;
 import org.rowanvalve.server.origin.HttpOriginTransport;
 
-/** Lets a rehearsal's requests run through this role's own way: an edge's door, or a shield's client for origins. */
+/**
+ * Sends warm-up requests through this role's own interfaces: an edge's client address, or a shield's client for
+ * origins.
+ */
 final class WarmupRequests {
     private static final int ROUNDS = 320;
     private static final long MAX_MS = 2500;
--- a/server/src/main/java/org/rowanvalve/server/storage/SqliteStorage.java
+++ b/server/src/main/java/org/rowanvalve/server/storage/SqliteStorage.java
@@ -27,12 +27,12 @@
 import org.rowanvalve.server.thread.ThreadGuard;
 
 /**
- * The disk duty: one thread, one SQLite file, one synced transaction for all that waits.
+ * Stable storage in one SQLite file: one thread, one synced transaction for all that waits.
  *
  * <p>What a process finds at its start may be no safer than the memory of the machine: an earlier process that was
- * killed may have written files, or made them, without a sync. A row that is read, or a commit into a write-ahead log
- * whose name was never synced, would be lost with the power. So all files and the folder are synced before SQLite
- * reads them, and the folder once more after SQLite has made or removed its own.
+ * killed may have written files, or created them, without a sync. A row that is read, or a commit into a write-ahead
+ * log whose name was never synced, would be lost with the power. So all files and the directory are synced before
+ * SQLite reads them, and the directory once more after SQLite has created or removed its own.
  */
 public final class SqliteStorage implements StableStorage {
     private static final long RETRY_MS = 250;
@@ -51,7 +51,7 @@
 
     private record WriteRequest(Map<String, byte[]> rows, Consumer<Boolean> callback) {}
 
-    /** Makes a file's contents, or a folder's names, last through a loss of power. */
+    /** Makes a file's contents, or a directory's entries, survive a loss of power. */
     @FunctionalInterface
     interface Syncer {
         void sync(Path path) throws IOException;
@@ -78,7 +78,7 @@
         open(reason -> {});
     }
 
-    /** Returns once the database is open; a disk that takes no writes now is told of and tried again. */
+    /** Returns once the database is open; a disk that takes no writes now is reported and tried again. */
     public void open(final Consumer<String> onRefused) throws StorageException, InterruptedException {
         prepareDirectory();
         while (connection == null) {
--- a/server/src/main/java/org/rowanvalve/server/storage/VolatileStorage.java
+++ b/server/src/main/java/org/rowanvalve/server/storage/VolatileStorage.java
@@ -5,7 +5,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.StableStorage;
 
-/** For electors without a disk: their memory is the process itself. */
+/** For voters without a disk: their state is the memory of the process. */
 public record VolatileStorage(EventLoop loop) implements StableStorage {
     @Override
     public Map<String, byte[]> load() {
--- a/server/src/main/java/org/rowanvalve/server/thread/CoreEventLoop.java
+++ b/server/src/main/java/org/rowanvalve/server/thread/CoreEventLoop.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** The core duty: one thread, timers of its own, and one bounded ring through which all else comes in. */
+/** The event loop of a node: one thread, its timers, and one bounded queue through which everything else arrives. */
 public final class CoreEventLoop implements EventLoop {
     private final ArrayBlockingQueue<Runnable> taskQueue = new ArrayBlockingQueue<>(8192);
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
@@ -98,7 +98,7 @@
         return false;
     }
 
-    /** Hears, at most once a second, that jobs are being shed. */
+    /** Called, at most once a second, when jobs are being shed. */
     public void onShed(final Runnable task) {
         shedListener = task;
     }
--- a/server/src/main/java/org/rowanvalve/server/thread/ThreadGuard.java
+++ b/server/src/main/java/org/rowanvalve/server/thread/ThreadGuard.java
@@ -4,7 +4,7 @@
 
 /**
  * Runs the jobs of a thread that the process cannot do without. Whatever a job throws, also an error such as a stack
- * that is too deep or memory that is short for a moment, is logged, and the thread goes on with its next job.
+ * overflow or a momentary shortage of memory, is logged, and the thread goes on with its next job.
  */
 public final class ThreadGuard {
     private static final Logger LOG = Logger.getLogger(ThreadGuard.class);
@@ -19,7 +19,7 @@
         }
     }
 
-    /** Tells of a defect; where even that fails, the thread still goes on. */
+    /** Reports a defect; where even that fails, the thread still goes on. */
     public static void logFailure(final Throwable cause) {
         try {
             LOG.error("RV1199 job failed", cause);
--- a/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
@@ -10,6 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -90,26 +91,38 @@
         return byName;
     }
 
-    /** In the pages that a newcomer reads first, each class and member that is named exists. */
+    /** Pages that tell what was once; the names in them are those of their time. */
+    private static final Set<String> HISTORY = Set.of("ROUNDS.md", "INCIDENTS.md");
+
+    private static final Pattern NAME = Pattern.compile("`([A-Z][a-z]\\w+)(?:[.#](\\w+))?`");
+
+    /** Each class, member and test that a page names in code style exists. */
     @Test
-    void everyNameInTheArchitectureAndTheGlossaryExists() throws IOException {
+    void everyNameInTheDocumentationExists() throws IOException {
         final Map<String, String> sources = sources();
         final List<String> missing = new ArrayList<>();
         int seen = 0;
-        for (final String page : List.of("ARCHITECTURE.md", "GLOSSARY.md")) {
-            final Matcher matcher =
-                    Pattern.compile("`([A-Z][a-z]\\w+)(?:\\.(\\w+))?`").matcher(Files.readString(DOCS.resolve(page)));
+        for (final Path page : pages()) {
+            final Matcher matcher = NAME.matcher(Files.readString(page));
             while (matcher.find()) {
                 seen++;
                 final String source = sources.get(matcher.group(1));
                 final String member = matcher.group(2);
                 if (source == null || member != null && !source.contains(member)) {
-                    missing.add(page + " " + matcher.group());
+                    missing.add(page.getFileName() + " " + matcher.group());
                 }
             }
         }
         assertEquals(List.of(), missing);
-        assertTrue(seen > 100, seen + " names");
+        assertTrue(seen > 500, seen + " names");
+    }
+
+    private static List<Path> pages() throws IOException {
+        try (var all = Files.list(DOCS)) {
+            return all.filter(f -> f.toString().endsWith(".md"))
+                    .filter(f -> !HISTORY.contains(f.getFileName().toString()))
+                    .toList();
+        }
     }
 
     /** Semicolons and opening braces, so that neither imports nor the length of names count. */
--- a/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -24,7 +24,10 @@
 import org.rowanvalve.testkit.scenario.ScenarioGenerator;
 import org.rowanvalve.testkit.sim.ScenarioRunner;
 
-/** The rig's command line: 0 all rules kept, 1 a rule broken or a trouble missed, 2 usage. */
+/**
+ * The command line of the test kit. Exit status: 0 all rules kept, 1 a rule broken or a fault that could not be
+ * injected, 2 usage.
+ */
 public final class TestKit {
     private static final String USAGE = """
         rwtestkit COMMAND
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
@@ -18,7 +18,7 @@
 import org.rowanvalve.testkit.origin.StandInBackend;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Operators of a fleet over HTTP, and the back ends' own changes. */
+/** Operators of a fleet over HTTP, and changes of objects at the back ends. */
 final class FleetOperator {
     private final Deployment deployment;
     private final List<FleetMachine> nodes;
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetScenarioRunner.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetScenarioRunner.java
@@ -12,7 +12,7 @@
 import org.rowanvalve.testkit.origin.StandInOrigin;
 import org.rowanvalve.testkit.scenario.Scenario;
 
-/** Brings a script's troubles about on processes. */
+/** Injects a scenario's faults into processes. */
 public final class FleetScenarioRunner {
     private static final Set<String> SHOWN = Set.of(
             "kill",
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LinkRelay.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LinkRelay.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.ToLongFunction;
 
-/** All links between machines: one listener for each direction of each pair. A cut link swallows, it does not refuse. */
+/**
+ * All links between machines: one listener for each direction of each pair. A partitioned link drops what is sent; it
+ * does not refuse connections.
+ */
 public final class LinkRelay implements AutoCloseable {
     private static final int ROOM = 1 << 20;
     private final Selector selector;
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
@@ -19,7 +19,7 @@
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Requesters of a fleet: the deployment's mix over HTTP, the platform picking edges by readiness. */
+/** Clients of a fleet: the deployment's mix of requests over HTTP; a load balancer picks edges by readiness. */
 final class LoadGenerator {
     private static final int ROOM = 3000;
     private final Deployment deployment;
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/ClientResponseRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/ClientResponseRules.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Rules on what callers were given. */
+/** Rules on responses to clients. */
 final class ClientResponseRules {
     private ClientResponseRules() {}
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/ConfigurationRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/ConfigurationRules.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Rules on configuration: in force in time, never back, never lost. */
+/** Rules on configuration: in force in time, never rolled back, never lost. */
 final class ConfigurationRules {
     private ConfigurationRules() {}
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/ControlResponseRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/ControlResponseRules.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Rules on the answers that operators got, try by try. */
+/** Rules on responses to operators, attempt by attempt. */
 final class ControlResponseRules {
     /** How long an order may go without an acknowledgement while nothing troubles the shields. */
     private static final long ACK_MS = 4000;
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/Judge.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Judge.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Rules on a run from its logs alone: the brief's twelve, and ten more where shields vote and operators state versions. */
+/**
+ * Checks the rules on a run from its logs alone: the brief's twelve, and ten more where shields vote and operators
+ * state versions.
+ */
 public final class Judge {
     private final List<Verdict> verdicts = new ArrayList<>();
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/OriginTrafficRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/OriginTrafficRules.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.rowanvalve.common.model.FencingToken;
 
-/** Rules on what went to origins. */
+/** Rules on requests to origins. */
 final class OriginTrafficRules {
     private OriginTrafficRules() {}
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/TrafficTotalsRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/TrafficTotalsRules.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Rules on sums over all machines, counted at the origins. */
+/** Rules on totals over all machines, counted at the origins. */
 final class TrafficTotalsRules {
     private static final long SPAN = 10_000;
     /** So many requests of a run may reach more origins than they should. */
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/Verdict.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/Verdict.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one rule came to: on how many events, and each breach with its evidence. */
+/** The result of one rule: how many events it was checked on, and each violation with its evidence. */
 public final class Verdict {
     private final int rule;
     private final String name;
--- a/testkit/src/main/java/org/rowanvalve/testkit/judge/VersionedItemRules.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/judge/VersionedItemRules.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Rules on items under operators' own versions, and on tries that callers name. */
+/** Rules on items under operators' own versions, and on attempts that clients name. */
 final class VersionedItemRules {
     private static final Set<Long> PROMISES = Set.of(408L, 421L, 429L, 503L);
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/log/RunLog.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/log/RunLog.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.rowanvalve.control.json.Json;
 
-/** JSON lines on one clock: what requesters, origins, operators, nodes and the rig saw. */
+/** JSON lines on one clock: what clients, origins, operators, nodes and the test kit observed. */
 public final class RunLog implements AutoCloseable {
     private final List<Map<String, Object>> rows = new ArrayList<>();
     private final BufferedWriter out;
--- a/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInBackend.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInBackend.java
@@ -7,7 +7,10 @@
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.control.json.Json;
 
-/** A stand-in's back end: objects with revisions, and bookings that must run once. Shared by its service's origins. */
+/**
+ * A stand-in's back end: objects with revisions, and bookings that must be executed once. Shared by its service's
+ * origins.
+ */
 public final class StandInBackend {
     private final String service;
     private final Map<String, Long> revs;
--- a/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInHandler.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/origin/StandInHandler.java
@@ -15,7 +15,7 @@
 import org.rowanvalve.server.http.RequestBody;
 import org.rowanvalve.testkit.log.RunLog;
 
-/** A stand-in origin's HTTP side, keeping the origin contract unless told to break it. */
+/** The HTTP interface of a stand-in origin; it keeps the origin contract unless a fault is injected. */
 public final class StandInHandler extends Handler.Abstract {
     private final String name;
     private final String stamp;
--- a/testkit/src/main/java/org/rowanvalve/testkit/report/FaultImpact.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/report/FaultImpact.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.rowanvalve.testkit.judge.RunFacts;
 
-/** What each trouble did to those served and to the shards' fillers. */
+/** The effect of each fault on clients and on the lease holders of shards. */
 final class FaultImpact {
     private static final long AFTER = 5000;
     private final RunFacts facts;
--- a/testkit/src/main/java/org/rowanvalve/testkit/report/RunStatistics.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/report/RunStatistics.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.rowanvalve.testkit.judge.RunFacts;
 
-/** Figures of one run: who was served when, and how long accepted changes took to be in force. */
+/** Figures of one run: the share of requests served over time, and how long accepted changes took to be in force. */
 public final class RunStatistics {
     private final RunFacts facts;
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
@@ -27,7 +27,7 @@
 import org.rowanvalve.server.storage.VolatileStorage;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** A node without traffic, programs or a process of its own: the real classes over real sockets. */
+/** A node without traffic or a process of its own: the real control plane over real sockets. */
 final class LightweightNode implements Transport {
     private static final Logger LOG = Logger.getLogger(LightweightNode.class);
     private final NodeId id;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNodes.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNodes.java
@@ -18,7 +18,7 @@
 import org.rowanvalve.testkit.fleet.Fleet;
 import org.rowanvalve.testkit.fleet.FleetMachine;
 
-/** Hollow nodes in this process; the electors and one edge are processes of their own, or hollow too. */
+/** Lightweight nodes in this process; the voters and one edge are processes of their own, or lightweight too. */
 final class LightweightNodes implements AutoCloseable {
     static final int REGIONS = 10;
     static final int ZONES = 29;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/MachineCapacity.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/MachineCapacity.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a machine has, and whether a number of hollow nodes fits into half of it. */
+/** The resources of this machine, and whether a number of lightweight nodes fits into half of them. */
 record MachineCapacity(long memoryMb, long heapMb, long files, long threads, double cores) {
     private static final double NODE_MB = 0.6;
     private static final double PEER_MB = 0.0025;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/MessageTally.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/MessageTally.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.common.message.Message;
 import org.rowanvalve.server.net.TrafficMeter;
 
-/** Frames and bytes of one node, by kind of message. */
+/** Messages and bytes of one node, by type of message. */
 final class MessageTally implements TrafficMeter {
     private final Map<String, Cell> cells = new ConcurrentHashMap<>();
     private volatile long wire;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/PropagationTracker.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/PropagationTracker.java
@@ -10,7 +10,7 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.NodeId;
 
-/** How long purges and configurations take from their statement until each node, and all nodes, hold them. */
+/** How long purges and configurations take from their declaration until each node, and all nodes, have them. */
 final class PropagationTracker {
     private final Map<String, Wave> open = new ConcurrentHashMap<>();
     private final Histogram each = new ConcurrentHistogram(60_000_000, 3);
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleRun.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleRun.java
@@ -10,7 +10,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Hollow nodes in steps of size: what each size costs, and the slope of each figure over the sizes. */
+/** Lightweight nodes in steps of size: what each size costs, and the slope of each figure over the sizes. */
 public final class ScaleRun {
     private static final List<String> CHARTED = List.of(
             "edge_bytes_s",
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/ScaleStep.java
@@ -17,7 +17,7 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.testkit.fleet.FleetMachine;
 
-/** One size: at rest, under purges and configurations, through a rolled zone, and after a cut. */
+/** One size: idle, under purges and configurations, through the restart of a zone, and after a partition. */
 final class ScaleStep {
     private static final long PAUSE = 140;
     private static final int MISSED = 200;
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/FaultGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/FaultGenerator.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 import org.rowanvalve.testkit.scenario.Scenario.Step;
 
-/** One trouble from chance: whom it strikes, for how long, in which variant. */
+/** Draws one fault: which machines, for how long, in which variant. */
 final class FaultGenerator {
     private static final long CLOSING_MS = 3000;
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
@@ -10,7 +10,10 @@
 import org.rowanvalve.control.json.JsonObjectReader;
 import org.rowanvalve.control.json.JsonReader;
 
-/** A day's troubles: what, whom, when, for how long. {@code closing}: what strikes once all others are over. */
+/**
+ * The faults of a run: what, which machines, when, for how long. {@code closing}: the fault that is injected once all
+ * others are over.
+ */
 public record Scenario(String name, Deployment place, long seconds, List<Step> steps, List<Step> closing) {
     public static final Set<String> TROUBLES = Set.of(
             "kill",
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/ScenarioGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/ScenarioGenerator.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.rowanvalve.testkit.scenario.Scenario.Step;
 
-/** Scripts from seeds: whole days, and two troubles on top of each other. */
+/** Scenarios from seeds: whole days, and two faults that overlap. */
 public final class ScenarioGenerator {
     /** One trouble in so many comes again. */
     private static final int AGAIN = 6;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreFaults.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/CoreFaults.java
@@ -9,7 +9,7 @@
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.testkit.scenario.Scenario;
 
-/** Troubles of the machines that count, in places whose shields vote: cuts among them, replacements, losses at answers. */
+/** Faults of voters, in deployments whose shields vote: partitions among them, replacements, losses at a response. */
 final class CoreFaults {
     private static final long WAIT_MS = 100;
     private static final long LOOK_MS = 1;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
@@ -13,7 +13,10 @@
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Operators, and the back ends' own changes: objects change, some are purged, routes are restated, two race. */
+/**
+ * Operators, and changes at the back ends: objects change, some are purged, routes are declared again, two operators
+ * race.
+ */
 public final class ItemOperator implements OperatorWorkload {
     private final SimCluster cluster;
     private final Map<String, Long> known = new TreeMap<>();
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/LeaseExclusivityMonitor.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/LeaseExclusivityMonitor.java
@@ -5,7 +5,9 @@
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.testkit.log.RunLog;
 
-/** Compares all shields' rights on true time and by each shield's own clock: no two may hold one shard, frozen or not. */
+/**
+ * Compares all shields' leases on true time and by each shield's own clock: no two may hold one shard, paused or not.
+ */
 final class LeaseExclusivityMonitor {
     private static final long EVERY_MS = 20;
     private final SimCluster cluster;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorUpdate.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorUpdate.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.rowanvalve.control.json.Json;
 
-/** One call of an operator: items that are set and items that are dropped. Sent again, it keeps its {@code id}. */
+/** One update of an operator: items that are set and items that are dropped. A repeat keeps its {@code id}. */
 record OperatorUpdate(long id, List<UpdateItem> items) {
     byte[] text() {
         final Map<String, Map<String, Object>> set = new TreeMap<>();
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorWorkload.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/OperatorWorkload.java
@@ -2,7 +2,7 @@
 
 import java.util.function.IntConsumer;
 
-/** Those who change the configuration and purge, whatever their way of stating it. */
+/** Operators who change the configuration and purge, whatever their interface. */
 interface OperatorWorkload {
     /** The first configuration. */
     void open();
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ScenarioRunner.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ScenarioRunner.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.scenario.Scenario;
 
-/** Brings a script's troubles about in the simulator. A trouble that could not be brought about fails the run. */
+/** Injects a scenario's faults into the simulator. A fault that could not be injected fails the run. */
 public final class ScenarioRunner {
     private final SimCluster cluster;
     private final Scenario scenario;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -14,7 +14,7 @@
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Requesters: a steady mix, some of whom ask again. */
+/** Clients: a steady mix of requests, some of which are repeated. */
 public final class SimClients {
     private final SimCluster cluster;
     private boolean on;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginAnnouncements.java
@@ -8,7 +8,7 @@
 import org.rowanvalve.control.operator.ApiResponse;
 import org.rowanvalve.testkit.log.RunLog;
 
-/** The two ways in which origins tell of themselves. */
+/** The two ways in which origins announce themselves. */
 final class SimOriginAnnouncements {
     private SimOriginAnnouncements() {}
 
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
@@ -16,7 +16,7 @@
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.origin.StandInBackend;
 
-/** A shield's circuits to origins on virtual time. */
+/** A shield's connections to origins on virtual time. */
 public final class SimOriginTransport implements OriginTransport {
     private final OriginDirectory yard;
     private final SimNode self;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimTransport.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimTransport.java
@@ -15,7 +15,10 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Links with delay, jitter, stalls for lost packets, and cuts in either direction. Every message goes through the wire format. */
+/**
+ * Links with delay, jitter, stalls for lost packets, and partitions in either direction. Every message is encoded and
+ * decoded as between processes.
+ */
 public final class SimTransport {
     private final VirtualTime time;
     private final BiFunction<String, String, Long> base;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateClient.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateClient.java
@@ -13,7 +13,7 @@
 import org.rowanvalve.control.operator.ApiResponse;
 import org.rowanvalve.testkit.log.RunLog;
 
-/** Sends orders and purges to any shield, and repeats them at other ones until the answer is clear. */
+/** Sends updates and purges to any shield, and repeats them at other ones until the result is clear. */
 final class UpdateClient {
     private static final int ORDER_TRIES = 100;
     private static final int LONGEST_PAUSE = 10;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateGenerator.java
@@ -9,7 +9,10 @@
 import org.rowanvalve.testkit.log.RunLog;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Writes the items of orders: bodies drawn around the place's own, versions that rise in steps of unequal size. */
+/**
+ * Generates the items of updates: bodies derived from the deployment's own, versions that rise in steps of unequal
+ * size.
+ */
 final class UpdateGenerator {
     private static final long FIRST_VERSION = 7;
     private static final int ATTEMPTS = 2;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateItem.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateItem.java
@@ -4,7 +4,7 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.testkit.log.RunLog;
 
-/** One item of an operator's order; a {@code body} of null drops it. {@code facts} go into the log beside it. */
+/** One item of an operator's update; a {@code body} of null drops it. {@code facts} are logged with it. */
 record UpdateItem(ItemKind kind, String name, long version, Map<String, Object> body, Map<String, Object> facts) {
     String id() {
         return kind.code() + "/" + name;
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
@@ -15,7 +15,10 @@
 import org.rowanvalve.testkit.origin.StandInBackend;
 import org.rowanvalve.testkit.scenario.Deployment;
 
-/** Operators who state items under versions of their own, at any shield, and repeat a call until its answer is clear. */
+/**
+ * Operators who declare items under versions of their own, at any shield, and repeat an update until its result is
+ * clear.
+ */
 public final class UpdateOperator implements OperatorWorkload {
     private static final String BLINK = "blink";
     private final SimCluster cluster;
