--- a/common/src/main/java/org/rowanvalve/common/event/EventJournal.java
+++ b/common/src/main/java/org/rowanvalve/common/event/EventJournal.java
@@ -22,6 +22,9 @@
         this.capacity = capacity;
     }
 
+    /**
+     * Numbers the event, gives it the time of the loop's clock, and passes it to all listeners in the calling thread.
+     */
     public synchronized void add(final Event event) {
         final Entry entry = new Entry(++sequence, loop.now(), event);
         if (recentEntries.size() == capacity) {
@@ -31,10 +34,12 @@
         listeners.forEach(v -> v.accept(entry));
     }
 
+    /** {@code view} gets each later event, in the thread that adds it; it must not block. */
     public void subscribe(final Consumer<Entry> view) {
         listeners.add(view);
     }
 
+    /** The last events, the oldest first; as many as the journal was created for at most. */
     public synchronized List<Entry> recent() {
         return List.copyOf(recentEntries);
     }
--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -49,6 +49,7 @@
         }
     }
 
+    /** Decodes a value that {@link #encode} encoded. */
     public static <T> T decode(final byte[] data, final Class<T> type) throws MessageFormatException {
         try {
             return MAPPER.readValue(data, type);
@@ -57,6 +58,7 @@
         }
     }
 
+    /** Decodes the envelope with its message. */
     public static Frame decodeFrame(final byte[] data) throws MessageFormatException {
         final Frame e = decode(data, Frame.class);
         if (e.version() != PROTOCOL_VERSION) {
--- a/common/src/main/java/org/rowanvalve/common/message/RejectedResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RejectedResponse.java
@@ -9,6 +9,7 @@
     /** The reason of a voter whose disk has been stalled or failing for the stated time. */
     public static final String STORAGE_UNAVAILABLE = "disk";
 
+    /** Whether a voter rejected the request because its disk is stalled or failing. */
     public static boolean isStorageUnavailable(final Reply reply) {
         return reply.as(RejectedResponse.class)
                 .filter(n -> STORAGE_UNAVAILABLE.equals(n.reason()))
--- a/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
+++ b/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
@@ -7,6 +7,7 @@
 public record FencingToken(long term, long count) implements Comparable<FencingToken> {
     public static final FencingToken ZERO = new FencingToken(0, 0);
 
+    /** The next token in term {@code now}: above this one, whatever that term is. */
     public FencingToken next(final long now) {
         return new FencingToken(Math.max(term, now), count + 1);
     }
@@ -26,6 +27,7 @@
         return term + "." + count;
     }
 
+    /** Reads {@code TERM.COUNT}. */
     public static FencingToken parse(final String text) {
         final int dot = text.indexOf('.');
         return new FencingToken(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
--- a/common/src/main/java/org/rowanvalve/common/model/Hash.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Hash.java
@@ -9,6 +9,7 @@
 public final class Hash {
     private Hash() {}
 
+    /** The same 64 bits for the same text in every process. */
     public static long hash64(final String text) {
         long h = 0xcbf29ce484222325L;
         for (final byte b : text.getBytes(StandardCharsets.UTF_8)) {
--- a/common/src/main/java/org/rowanvalve/common/model/Item.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Item.java
@@ -11,14 +11,17 @@
         @JsonProperty("gone") boolean deleted,
         @JsonProperty("tag") String writeId) {
 
+    /** An item that was never written: version zero. */
     public static Item none(final ItemId id) {
         return new Item(id, Version.ZERO, "", true, "");
     }
 
+    /** The next version with this body. */
     public Item successor(final String text, final String write) {
         return new Item(id, version.next(), text, false, write);
     }
 
+    /** The next version, deleted. A purge keeps its body, since copies older than it must stay invalid. */
     public Item tombstone(final String write) {
         return new Item(id, version.next(), id.kind() == ItemKind.PURGE ? body : "", true, write);
     }
@@ -31,6 +34,7 @@
         return Hash.hash64(id.text() + "@" + version.number());
     }
 
+    /** About the size of the item between processes, in bytes. */
     public int approximateBytes() {
         return body.getBytes(StandardCharsets.UTF_8).length + id.name().length() + 64;
     }
--- a/common/src/main/java/org/rowanvalve/common/model/ItemId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemId.java
@@ -13,6 +13,7 @@
     /** The register that decides operators' updates. */
     public static final ItemId LEDGER = new ItemId(ItemKind.LEDGER, "orders");
 
+    /** Reads {@code KIND/NAME}; an unknown kind is an {@link IllegalArgumentException}. */
     @JsonCreator
     public static ItemId parse(final String text) {
         final int cut = text.indexOf('/');
--- a/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
@@ -46,10 +46,12 @@
         return this == PURGE || this == ORIGIN;
     }
 
+    /** Whether operators declare items of this kind. */
     public boolean isOperatorDefined() {
         return this == ROUTE || this == SERVICE || this == PURGE || this == LIMIT;
     }
 
+    /** The kind of this name in the control interface, singular or plural. */
     public static Optional<ItemKind> of(final String word) {
         for (final ItemKind kind : values()) {
             if (kind.label().equals(word) || (kind.label() + "s").equals(word)) {
--- a/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
+++ b/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
@@ -26,6 +26,7 @@
         this(leaseMs, marginMs, 1500);
     }
 
+    /** How often a holder renews its leases. */
     public long renewIntervalMs() {
         return leaseMs / 3;
     }
--- a/control/src/main/java/org/rowanvalve/control/config/Configuration.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Configuration.java
@@ -40,6 +40,7 @@
         return limits;
     }
 
+    /** Reads operators' JSON; {@code errors} gets every error with its path, and references are checked too. */
     public static Configuration read(final byte[] data, final List<ValidationError> errors) {
         final Configuration configuration = new Configuration();
         final Object value = JsonReader.read(data, errors);
@@ -58,6 +59,7 @@
         return configuration;
     }
 
+    /** Reads one item into this configuration; {@code path} is where it stands in the input. */
     public void readItem(final ItemId id, final Object value, final String path, final List<ValidationError> errors) {
         final JsonObjectReader object = new JsonObjectReader(value, path, errors);
         if (!id.name().matches(NAME)) {
@@ -157,6 +159,10 @@
         return new Purge(route, path, path == null && prefix == null ? "/" : prefix, null, null);
     }
 
+    /**
+     * Adds an error for each reference that does not resolve, for overlapping prefixes, and for a mode that a service
+     * cannot serve.
+     */
     public void checkReferences(final List<ValidationError> errors) {
         final List<Map.Entry<String, Route>> list = new ArrayList<>(routes.entrySet());
         for (int i = 0; i < list.size(); i++) {
@@ -193,6 +199,7 @@
         });
     }
 
+    /** The items of this configuration with their bodies as JSON text. */
     public Map<ItemId, String> bodies() {
         final Map<ItemId, String> map = new TreeMap<>();
         services.forEach((name, object) -> map.put(new ItemId(ItemKind.SERVICE, name), Json.write(object)));
@@ -204,6 +211,7 @@
         return map;
     }
 
+    /** The configuration that the chosen items amount to. */
     public static Configuration of(final ItemStore items) {
         final Configuration configuration = new Configuration();
         items.all().stream()
--- a/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
@@ -38,6 +38,7 @@
 
     private record PrefixPurge(Purge purge, Version version) {}
 
+    /** Follows {@code items} from now on. */
     public ConfigurationView(final ItemStore items) {
         this.items = items;
         items.addListener(this::onItem);
@@ -160,6 +161,7 @@
                         .findFirst());
     }
 
+    /** The route of a path among those that name no host. */
     public Optional<ConfiguredRoute> route(final String path) {
         return route("", path);
     }
@@ -168,6 +170,7 @@
         return limits;
     }
 
+    /** The newest purge of a tag; version 0 where there was none. */
     public TagPurge tagPurge(final String tag) {
         return tagPurges.getOrDefault(tag, new TagPurge(0, Long.MIN_VALUE / 2));
     }
@@ -178,6 +181,7 @@
                 .allMatch(entry -> tagPurge(entry.getKey()).version() <= entry.getValue());
     }
 
+    /** The route of this name, if it can be served. */
     public Optional<ConfiguredRoute> routeNamed(final String name) {
         foldRoutes();
         return routesByPrecedence.stream()
@@ -189,6 +193,7 @@
         return plan;
     }
 
+    /** All routes, in the order in which they are tried. */
     public List<ConfiguredRoute> routesByPrecedence() {
         foldRoutes();
         return routesByPrecedence;
@@ -202,14 +207,19 @@
         return services.keySet();
     }
 
+    /** When this node learned the item's version, in ms of its monotonic clock. */
     public long learnedAt(final ItemId id) {
         return items.learnedAt(id);
     }
 
+    /** The service of this name, or null. */
     public Service service(final String name) {
         return services.get(name);
     }
 
+    /**
+     * The versions that a copy of this path has to be filled under: of the route, and of every purge that concerns it.
+     */
     public VersionVector versionsOf(final ConfiguredRoute row, final String path) {
         final Map<String, Long> vers = new TreeMap<>();
         pathPurges
--- a/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfiguredRoute.java
@@ -7,10 +7,12 @@
  * and serves none of them.
  */
 public record ConfiguredRoute(String name, Route route, Service service, Optional<RouteCondition> condition) {
+    /** Whether requests of this route can be served at all. */
     public boolean isUsable() {
         return service != null && !(route.hasMode(RouteMode.KEYED) && service.isContent());
     }
 
+    /** The time-out of a request: the route's own, else the service's. */
     public long timeoutMs() {
         return route.timeoutMs() > 0 ? route.timeoutMs() : service.timeoutMs();
     }
--- a/control/src/main/java/org/rowanvalve/control/config/Origin.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Origin.java
@@ -66,6 +66,7 @@
                 && instance.equals(origin.instance);
     }
 
+    /** Whether it takes requests; {@code age}: time since it was last heard from, in ms. */
     public boolean isLive(final long age) {
         return !draining && (ttlMs <= 0 || age < ttlMs);
     }
--- a/control/src/main/java/org/rowanvalve/control/config/RequestLimits.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RequestLimits.java
@@ -21,6 +21,7 @@
         note = note == null ? "" : note;
     }
 
+    /** The limits of the item, or the defaults where it does not exist. */
     public static RequestLimits of(final Item item) {
         return Optional.of(item)
                 .filter(Item::exists)
--- a/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
@@ -72,6 +72,10 @@
         }
     }
 
+    /**
+     * Evaluates the condition on one request; {@code target} includes the query, {@code size} is that of the body in
+     * bytes.
+     */
     public Result evaluate(final String method, final String target, final String key, final int size) {
         final int cut = target.indexOf('?');
         try {
--- a/control/src/main/java/org/rowanvalve/control/config/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/config/package-info.java
@@ -1,4 +1,7 @@
 /**
- * What operators state: routes, services, purges, limits, origins, their checks, and the view of them that traffic uses.
+ * What operators declare: routes, services, purges, limits, origins, how they are read and checked, and the view of
+ * them that requests use.
+ *
+ * <p>Depends on {@code control.json}, {@code control.placement} and {@code control.store}.
  */
 package org.rowanvalve.control.config;
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -90,6 +90,7 @@
         this.rank = rank;
     }
 
+    /** Begins to look for accepted values that are not known as chosen. */
     public void start() {
         startedAt = loop.now();
         foundOnDisk.addAll(registers.get().keySet());
--- a/control/src/main/java/org/rowanvalve/control/election/Leadership.java
+++ b/control/src/main/java/org/rowanvalve/control/election/Leadership.java
@@ -29,6 +29,7 @@
         return leaseMs > 0 ? marginMs : timings.marginMs();
     }
 
+    /** The leadership of the item; released, in term 0, where it does not exist. */
     public static Leadership of(final Item item) {
         return item.exists() ? Json.read(item.body(), Leadership.class) : new Leadership("", "", 0, 0, true, 0, 0, 0);
     }
--- a/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
@@ -25,6 +25,7 @@
         }
     }
 
+    /** Adds an error at the member {@code name}, or at the object itself where it is empty. */
     public void addError(final String name, final String text) {
         errors.add(new ValidationError(name.isEmpty() ? path.isEmpty() ? "/" : path : path + "/" + name, text));
     }
@@ -38,6 +39,7 @@
         return value;
     }
 
+    /** The text of a member; {@code fallback} where there is none or it is of another type. */
     public String text(final String name, final boolean must, final String fallback) {
         final Object value = member(name, must);
         if (value == null) {
@@ -67,6 +69,9 @@
         return fallback;
     }
 
+    /**
+     * The number of a member, between {@code least} and {@code most}; {@code fallback} where there is none or an error.
+     */
     public BigDecimal number(
             final String name, final boolean must, final long fallback, final long least, final long most) {
         final Object value = member(name, must);
@@ -124,10 +129,12 @@
         return errors;
     }
 
+    /** Marks a member as known that is read elsewhere. */
     public void knownMembers(final String name) {
         knownMembers.add(name);
     }
 
+    /** Adds an error for each member that was neither read nor marked as known. */
     public void rejectUnknownMembers() {
         members.keySet().stream()
                 .map(String::valueOf)
--- a/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
@@ -21,6 +21,7 @@
         this.errors = errors;
     }
 
+    /** Parses JSON; null with an error where it cannot be parsed. */
     public static Object read(final byte[] data, final List<ValidationError> faults) {
         final JsonIterator input = JsonIterator.parse(data.length == 0 ? " ".getBytes(StandardCharsets.UTF_8) : data);
         try {
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
@@ -51,6 +51,7 @@
 
     private ConfigurationUpdate() {}
 
+    /** Reads an update; {@code errors} gets every error with its path. */
     public static ConfigurationUpdate read(final byte[] data, final List<ValidationError> errors) {
         final ConfigurationUpdate patch = new ConfigurationUpdate();
         final Object value = JsonReader.read(data, errors);
--- a/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
@@ -34,6 +34,7 @@
         this.isLeader = isLeader;
     }
 
+    /** Begins to look for what can be collected; only the leader does it. */
     public void start() {
         loop.scheduleRepeatedly(ROUND_MS, this::collect);
     }
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -110,6 +110,7 @@
         refuse(ApiResponse.invalid(errors), callback);
     }
 
+    /** Rejects with this status and reason, in contact with a majority only; else the response is 503. */
     public void refuse(final int status, final String reason, final Consumer<ApiResponse> callback) {
         refuse(new ApiResponse(status, ApiResponse.members("fate", "refused", "reason", reason)), callback);
     }
@@ -258,6 +259,7 @@
         readAll(ResponseDeadline.CONTACT_TIMEOUT_MILLIS, callback);
     }
 
+    /** The same with a time-out of its own, in ms; empty where no majority answered within it. */
     public void readAll(final long timeoutMs, final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
         view.awaitConfirmation(loop.now(), timeoutMs, ok -> {
             if (!ok) {
--- a/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
@@ -44,10 +44,12 @@
         this(epoch, term, assignments, 0, Map.of());
     }
 
+    /** The plan of the next epoch with other shares of the rate limits. */
     public PlacementPlan withWeights(final Map<String, List<Integer>> newWeights) {
         return new PlacementPlan(epoch + 1, term, assignments, weightsSerial + 1, newWeights);
     }
 
+    /** The same placement, repeated as the first plan of a term. */
     public PlacementPlan of(final long newTerm) {
         return new PlacementPlan(epoch + 1, newTerm, assignments, weightsSerial, weights);
     }
@@ -58,10 +60,12 @@
         return list == null || shard >= list.size() ? WEIGHT_SCALE / Math.max(1, assignments.size()) : list.get(shard);
     }
 
+    /** The plan of the item, or an empty one where it does not exist. */
     public static PlacementPlan of(final Item item) {
         return item.exists() ? Json.read(item.body(), PlacementPlan.class) : new PlacementPlan(0, 0, List.of());
     }
 
+    /** The plan of the next epoch, with {@code moves} under new fencing tokens. */
     public PlacementPlan withMoves(final long currentTerm, final Map<Integer, NodeId> moves, final int shards) {
         final List<Assignment> next = new ArrayList<>();
         for (int i = 0; i < shards; i++) {
@@ -76,6 +80,7 @@
         return new PlacementPlan(epoch + 1, currentTerm, next, weightsSerial, weights);
     }
 
+    /** The owner of a shard by rendezvous hashing: a member that comes or goes moves only its own shards. */
     public static NodeId rendezvousOwner(final int shard, final Collection<NodeId> members) {
         return members.stream()
                 .max(Comparator.comparingLong((NodeId node) -> Hash.hash64("shard-" + shard + "/" + node.text()))
@@ -83,6 +88,7 @@
                 .orElseThrow();
     }
 
+    /** The shard of a key; the same on every node. */
     public static int shardOf(final String route, final String service, final String key, final int shards) {
         return (int) Long.remainderUnsigned(Hash.hash64(route + "|" + service + "|" + key), shards);
     }
--- a/control/src/main/java/org/rowanvalve/control/placement/RateShareBalancer.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/RateShareBalancer.java
@@ -33,6 +33,7 @@
     private long lastRoundAt;
     private long confirmedSince = -1;
 
+    /** Forgets all demand, as at the start of a term. */
     public void clear(final long now) {
         demand.clear();
         confirmedSerials.clear();
@@ -41,6 +42,7 @@
         confirmedSince = -1;
     }
 
+    /** Records the demand that a holder reports with its renewal. */
     public void onRenewal(final NodeId from, final LeaseRenewRequest request) {
         confirmedSerials.put(from, request.weightsSerial());
         if (request.demand() != null) {
--- a/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
+++ b/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
@@ -92,6 +92,7 @@
                 .thenComparing(Member::id);
     }
 
+    /** Begins to look for changes that are due; {@code authority}: acts only while this node leads. */
     public void start(final LeaderElection authority) {
         election = authority;
         votingConfiguration.addListener(() -> lastChangeAt = loop.now());
--- a/control/src/main/java/org/rowanvalve/control/store/ItemDigest.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemDigest.java
@@ -12,10 +12,12 @@
     private final long[] bucketSums = new long[BUCKETS];
     private long total;
 
+    /** The bucket of an item; the same on every node. */
     public static int bucket(final ItemId id) {
         return (int) (Hash.hash64(id.text()) & BUCKETS - 1);
     }
 
+    /** Takes the earlier version out of the checksums and the present one in. */
     public void replace(final Item previous, final Item current) {
         final int bucket = bucket(current.id());
         final long change = (previous != null && previous.version().number() > 0 ? previous.checksum() : 0)
@@ -24,6 +26,7 @@
         total ^= change;
     }
 
+    /** The checksum over all items. */
     public long total() {
         return total;
     }
--- a/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
@@ -34,6 +34,7 @@
         this.loop = loop;
     }
 
+    /** Answers whether the sender holds all that this voter has accepted. */
     public void onDigestRequest(final DigestRequest request, final Consumer<Message> callback) {
         final boolean matches = request.digest() == acceptor.digest().total();
         callback.accept(acceptor.rejection(request.epoch())
@@ -41,6 +42,7 @@
                         matches, matches ? List.of() : acceptor.digest().bucketSums())));
     }
 
+    /** Answers with the items that the sender lacks, once open writes are settled or the time-out has passed. */
     public void onMissingItemsRequest(final MissingItemsRequest request, final Consumer<Message> callback) {
         final Optional<Message> refusal = acceptor.rejection(request.epoch());
         if (refusal.isPresent()) {
--- a/control/src/main/java/org/rowanvalve/control/voting/VoterAddress.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VoterAddress.java
@@ -4,6 +4,7 @@
 
 /** A voter and where it is reached, written {@code ID@IP:PORT}. */
 public record VoterAddress(NodeId id, String host, int port) {
+    /** Reads {@code ID@IP:PORT}. */
     public static VoterAddress parse(final String text) {
         final int at = text.indexOf('@');
         final int colon = text.lastIndexOf(':');
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
@@ -52,10 +52,12 @@
         });
     }
 
+    /** The voters of the present epoch. */
     public Quorum quorum() {
         return quorum;
     }
 
+    /** The present epoch; 0 for the founding set. */
     public long epoch() {
         return quorum.epoch();
     }
@@ -83,6 +85,7 @@
         return chosenSet == null ? List.of() : VotingSet.of(chosenSet.item()).previousVoterIds();
     }
 
+    /** {@code listener} runs after each change of the voting set, in the event loop. */
     public void addListener(final Runnable listener) {
         listeners.add(listener);
     }
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingSet.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingSet.java
@@ -15,6 +15,7 @@
         previous = List.copyOf(previous);
     }
 
+    /** The voting set of the register's value. */
     public static VotingSet of(final Item item) {
         return Json.read(item.body(), VotingSet.class);
     }
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
@@ -41,6 +41,7 @@
         this.viewFresh = viewFresh;
     }
 
+    /** Begins to search whenever the view is not confirmed. */
     public void start() {
         loop.scheduleRepeatedly(INTERVAL_MS, () -> {
             if (!viewFresh.getAsBoolean()) {
--- a/data/src/main/java/org/rowanvalve/data/keyed/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/package-info.java
@@ -1,5 +1,8 @@
 /**
- * Keyed requests at the holder of their shard: the intent is recorded at a majority before a byte leaves for the origin,
- * the outcome after it.
+ * Keyed requests at the holder of their shard: the intent is recorded at a majority before a byte is sent to the
+ * origin, the outcome after it. Read {@code KeyedRequests}, then {@code RecordReader} and {@code RecordWrite}.
+ *
+ * <p>Depends on {@code control.lease}, {@code control.record}, {@code control.voting}, {@code data.origin} and {@code
+ * data.request}.
  */
 package org.rowanvalve.data.keyed;
--- a/data/src/main/java/org/rowanvalve/data/request/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/request/package-info.java
@@ -1,4 +1,6 @@
 /**
  * Requests of clients and the responses to them.
+ *
+ * <p>Depends on {@code control.json} and {@code data.origin}.
  */
 package org.rowanvalve.data.request;
--- a/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
@@ -68,6 +68,7 @@
         System.exit(run(args, System.out, System.err));
     }
 
+    /** Runs one command and returns its exit status. */
     public static int run(final String[] args, final PrintStream out, final PrintStream err) throws Exception {
         final OptionParser parser = new OptionParser();
         parser.accepts("at", "operators' address of any node").withRequiredArg().defaultsTo("127.0.0.1:8000");
--- a/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
@@ -31,6 +31,7 @@
         right = String.valueOf(rightState.get("node"));
     }
 
+    /** Compares the status reports of two nodes. */
     public static List<Difference> of(final Map<?, ?> leftState, final Map<?, ?> rightState) {
         final NodeDiff diff = new NodeDiff(leftState, rightState);
         diff.members();
--- a/server/src/main/java/org/rowanvalve/server/http/HeaderLimit.java
+++ b/server/src/main/java/org/rowanvalve/server/http/HeaderLimit.java
@@ -13,6 +13,7 @@
 
     private HeaderLimit() {}
 
+    /** Whether the request line and the headers together exceed the limit. */
     public static boolean over(final Request req, final RequestLimits limits) {
         long size = req.getMethod().length() + req.getHttpURI().toString().length() + 16;
         for (final HttpField field : req.getHeaders()) {
--- a/server/src/main/java/org/rowanvalve/server/http/HttpAddresses.java
+++ b/server/src/main/java/org/rowanvalve/server/http/HttpAddresses.java
@@ -37,6 +37,7 @@
         this.server = server;
     }
 
+    /** A server with one bounded thread pool for all its addresses. */
     public static Server server(final String name) {
         final QueuedThreadPool pool = new QueuedThreadPool(24, 3);
         pool.setName(name);
@@ -46,6 +47,7 @@
         return server;
     }
 
+    /** Opens an address with a handler of its own and returns its port; fails where the address cannot be used. */
     public int open(final String what, final InetSocketAddress at, final Handler handler) throws IOException {
         return open(what, at, handler, Integer.MAX_VALUE);
     }
--- a/server/src/main/java/org/rowanvalve/server/log/EventLog.java
+++ b/server/src/main/java/org/rowanvalve/server/log/EventLog.java
@@ -33,6 +33,7 @@
         this.out = out;
     }
 
+    /** Begins to log the events of this journal. */
     public void start(final EventJournal journal) {
         thread.setDaemon(true);
         thread.start();
@@ -54,6 +55,7 @@
         }
     }
 
+    /** Writes what is still waiting, in the calling thread. */
     public void flush() {
         for (Line l = ring.poll(); l != null; l = ring.poll()) {
             write(l);
@@ -82,6 +84,7 @@
         }
     }
 
+    /** How many events were dropped because the ring buffer was full. */
     public long shed() {
         return shed.get();
     }
--- a/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/net/TcpTransport.java
@@ -98,6 +98,7 @@
         addressBook.putAll(seeds);
     }
 
+    /** Opens the listener and starts the selector thread; fails where the address cannot be used. */
     public void bind(final InetSocketAddress address, final Transport.Handler recipient) throws IOException {
         handler = recipient;
         selector = Selector.open();
@@ -110,6 +111,7 @@
         handler = recipient;
     }
 
+    /** The port that is listened at, where 0 was asked for. */
     public int boundPort() throws IOException {
         return listener.port();
     }
--- a/server/src/main/java/org/rowanvalve/server/net/TrafficMeter.java
+++ b/server/src/main/java/org/rowanvalve/server/net/TrafficMeter.java
@@ -12,6 +12,7 @@
         public void onReceived(final Message message, final int bytes) {}
     };
 
+    /** {@code bytes}: of the encoded message with its length prefix. */
     void onSent(Message message, int bytes);
 
     void onReceived(Message message, int bytes);
--- a/server/src/main/java/org/rowanvalve/server/net/package-info.java
+++ b/server/src/main/java/org/rowanvalve/server/net/package-info.java
@@ -1,4 +1,6 @@
 /**
- * The transport between processes over TCP: one selector thread, length-prefixed CBOR frames.
+ * The transport between processes over TCP: one selector thread, length-prefixed CBOR messages.
+ *
+ * <p>Depends on {@code server.thread}.
  */
 package org.rowanvalve.server.net;
--- a/server/src/main/java/org/rowanvalve/server/options/OptionChange.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionChange.java
@@ -57,6 +57,7 @@
                 .toList();
     }
 
+    /** Compares two readings option by option. */
     public static OptionChange between(final Options before, final Options after) {
         final List<String> taken = new ArrayList<>();
         final List<String> needsStart = new ArrayList<>();
--- a/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
+++ b/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
@@ -13,6 +13,7 @@
 
     private HangupSignal() {}
 
+    /** Handles SIGHUP from now on; without it the JVM would end. */
     public static void install() {
         Signal.handle(new Signal("HUP"), signal -> RECEIVED.release());
     }
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -237,6 +237,7 @@
         }
     }
 
+    /** Starts a server; fails with the description where an address cannot be used. */
     public static void startServer(final Server server, final String description) throws IOException {
         try {
             server.start();
--- a/server/src/main/java/org/rowanvalve/server/storage/SqliteStorage.java
+++ b/server/src/main/java/org/rowanvalve/server/storage/SqliteStorage.java
@@ -74,6 +74,7 @@
         }
     }
 
+    /** Opens the database; see {@link #open(Consumer)}. */
     public void open() throws StorageException, InterruptedException {
         open(reason -> {});
     }
@@ -179,6 +180,7 @@
         }
     }
 
+    /** Ends the thread; rows not synced by then are not saved. */
     public void stop() {
         running = false;
         thread.interrupt();
--- a/server/src/main/java/org/rowanvalve/server/thread/CoreEventLoop.java
+++ b/server/src/main/java/org/rowanvalve/server/thread/CoreEventLoop.java
@@ -49,6 +49,7 @@
         thread.start();
     }
 
+    /** Ends the thread after the job that it is running. */
     public void stop() {
         running = false;
         taskQueue.offer(() -> {});
--- a/server/src/main/java/org/rowanvalve/server/thread/ThreadGuard.java
+++ b/server/src/main/java/org/rowanvalve/server/thread/ThreadGuard.java
@@ -11,6 +11,7 @@
 
     private ThreadGuard() {}
 
+    /** Runs the job and logs whatever it throws. */
     public static void run(final Runnable task) {
         try {
             task.run();
--- a/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.approvaltests.Approvals;
@@ -125,6 +126,56 @@
         }
     }
 
+    private static final Pattern IMPORT =
+            Pattern.compile("import (?:static )?org\\.rowanvalve\\.([a-z]+(?:\\.[a-z]+)?)\\.");
+
+    private static final Pattern DEPENDENCIES = Pattern.compile("Depends on ((?:[^.]|\\.(?=\\w))*)\\.");
+
+    private static final Pattern CODE = Pattern.compile("\\{@code ([\\w.]+)}");
+
+    /** What a package says that it depends on is what its sources import; {@code common} may be used by all. */
+    @Test
+    void everyPackageNamesThePackagesItDependsOn() throws IOException {
+        int seen = 0;
+        try (var all = Files.walk(Path.of(".."))) {
+            for (final Path description : all.filter(f -> f.endsWith("package-info.java"))
+                    .filter(f -> f.toString().contains("src"))
+                    .toList()) {
+                seen++;
+                final Path directory = description.getParent();
+                assertEquals(imported(directory), described(description), directory.toString());
+            }
+        }
+        assertTrue(seen > 40, seen + " packages");
+    }
+
+    private static Set<String> imported(final Path directory) throws IOException {
+        final String own =
+                directory.toString().replaceFirst(".*/org/rowanvalve/", "").replace('/', '.');
+        final Set<String> packages = new TreeSet<>();
+        try (var files = Files.list(directory)) {
+            for (final Path source :
+                    files.filter(f -> f.toString().endsWith(".java")).toList()) {
+                IMPORT.matcher(Files.readString(source)).results().forEach(match -> packages.add(match.group(1)));
+            }
+        }
+        packages.remove(own);
+        packages.removeIf(name -> name.startsWith("common"));
+        return packages;
+    }
+
+    private static Set<String> described(final Path description) throws IOException {
+        final String text = Files.readString(description).replaceAll("\\s+\\*\\s+", " ");
+        final Set<String> packages = new TreeSet<>();
+        DEPENDENCIES
+                .matcher(text)
+                .results()
+                .forEach(sentence ->
+                        CODE.matcher(sentence.group(1)).results().forEach(match -> packages.add(match.group(1))));
+        packages.removeIf(name -> name.startsWith("common"));
+        return packages;
+    }
+
     /** Semicolons and opening braces, so that neither imports nor the length of names count. */
     private static long statements(final Path source) throws IOException {
         return Files.readAllLines(source).stream()
--- a/testkit/src/main/java/org/rowanvalve/testkit/log/package-info.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/log/package-info.java
@@ -1,4 +1,6 @@
 /**
  * Logs of a run as JSON lines.
+ *
+ * <p>Depends on {@code control.json}.
  */
 package org.rowanvalve.testkit.log;
--- a/testkit/src/main/java/org/rowanvalve/testkit/package-info.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/package-info.java
@@ -1,4 +1,7 @@
 /**
  * The test kit's command line.
+ *
+ * <p>Depends on {@code testkit.fleet}, {@code testkit.judge}, {@code testkit.log}, {@code testkit.origin}, {@code
+ * testkit.report}, {@code testkit.scale}, {@code testkit.scenario} and {@code testkit.sim}.
  */
 package org.rowanvalve.testkit;
--- a/testkit/src/main/java/org/rowanvalve/testkit/report/package-info.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/report/package-info.java
@@ -1,4 +1,6 @@
 /**
  * Figures of a run for people.
+ *
+ * <p>Depends on {@code testkit.judge}.
  */
 package org.rowanvalve.testkit.report;
