--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/FleetOperator.java
@@ -66,45 +66,7 @@
         final long t = System.currentTimeMillis();
         final int status = put(nodes.get(0), "config", text, 0, "x").statusCode();
         final long end = System.currentTimeMillis();
-        for (final Deployment.Backend backend : deployment.kin()) {
-            log.add(RunLog.row(
-                    "log",
-                    "op",
-                    "t",
-                    t,
-                    "end",
-                    end,
-                    "what",
-                    "put",
-                    "item",
-                    "SERVICE/" + backend.service(),
-                    "service",
-                    backend.service(),
-                    "kind",
-                    backend.kind(),
-                    "rate",
-                    backend.rate(),
-                    "status",
-                    status,
-                    "version",
-                    1));
-            backend.trafficClasses()
-                    .forEach(traffic -> log.add(RunLog.row(
-                            "log",
-                            "op",
-                            "t",
-                            t,
-                            "end",
-                            end,
-                            "what",
-                            "put",
-                            "item",
-                            "ROUTE/" + traffic.route(),
-                            "status",
-                            status,
-                            "version",
-                            1)));
-        }
+        deployment.configRows(t, end, status).forEach(log::add);
         return status;
     }
 
@@ -146,21 +108,15 @@
     }
 
     private Deployment.TrafficClass pick() {
-        final List<Deployment.TrafficClass> ways = deployment.ways().stream()
-                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
-                .toList();
+        final List<Deployment.TrafficClass> ways = deployment.purgeableRoutes();
         return ways.get((int) (roll() * ways.size()));
     }
 
     private void change() {
         final Deployment.TrafficClass traffic = pick();
         final double r = roll();
-        final String path = traffic.prefix() + (int) (traffic.objects() * r * r * r);
-        final String service = deployment.kin().stream()
-                .filter(backend -> backend.trafficClasses().contains(traffic))
-                .findFirst()
-                .orElseThrow()
-                .service();
+        final String path = traffic.path(r, 3);
+        final String service = deployment.serviceOf(traffic);
         final long rev = stocks.get(service).change(path);
         log.add(RunLog.row("log", "change", "t", System.currentTimeMillis(), "path", path, "rev", rev));
         if (roll() < 0.33) {
@@ -230,22 +186,7 @@
 
     private void restate() {
         final Deployment.TrafficClass traffic = pick();
-        final String service = deployment.kin().stream()
-                .filter(backend -> backend.trafficClasses().contains(traffic))
-                .findFirst()
-                .orElseThrow()
-                .service();
-        final String body = Json.write(RunLog.row(
-                "prefix",
-                traffic.prefix(),
-                "service",
-                service,
-                "mode",
-                traffic.mode(),
-                "lifetimeMs",
-                traffic.lifetimeMs(),
-                "purgeable",
-                traffic.purgeable()));
+        final String body = Json.write(deployment.routeBody(traffic));
         for (int i = 0; i < 2; i++) {
             clock.execute(() -> state("put", "routes/" + traffic.route(), "ROUTE/" + traffic.route(), body, Map.of()));
         }
@@ -254,9 +195,7 @@
     int restateService() {
         final Deployment.Backend backend =
                 deployment.kin().get((int) (roll() * deployment.kin().size()));
-        final Map<String, Object> body = backend.rate() > 0
-                ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
-                : RunLog.row("kind", backend.kind());
+        final Map<String, Object> body = backend.body();
         body.put("cutoffMs", 1500 + (int) (1000 * roll()));
         return state(
                 "put",
--- a/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/fleet/LoadGenerator.java
@@ -88,7 +88,7 @@
             due += -Math.log(1 - random.nextDouble()) * 1000 / (deployment.perSecond() * factor);
             final Deployment.TrafficClass traffic = deployment.pick(random.nextDouble());
             final double roll = random.nextDouble();
-            final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll);
+            final String path = traffic.path(roll, 2);
             send(traffic, path, traffic.mode().equals("once") ? "key-" + serial.incrementAndGet() : null, 1);
         }
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/Deployment.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Deployment.java
@@ -31,7 +31,12 @@
     private static final String HOST = "shop.example";
 
     /** A service, its origins, and the routes to it; {@code share} of requests each route gets. */
-    public record Backend(String service, String kind, double rate, int origins, List<TrafficClass> trafficClasses) {}
+    public record Backend(String service, String kind, double rate, int origins, List<TrafficClass> trafficClasses) {
+        /** The body of the service's item; without a rate where it has none. */
+        public Map<String, Object> body() {
+            return RunLog.row("kind", kind, "rate", rate > 0 ? rate : null);
+        }
+    }
 
     /** {@code host} and {@code split} are for routes of a shield-run place: which services share the requests, by weight. */
     public record TrafficClass(
@@ -66,6 +71,15 @@
                     route, "/" + route + "/", mode, lifetimeMs, true, share, objects, HOST, new TreeMap<>(split));
         }
 
+        /** An object's path; {@code roll} is in [0, 1), and a higher {@code skew} asks more often for the first objects. */
+        public String path(final double roll, final int skew) {
+            double index = objects;
+            for (int i = 0; i < skew; i++) {
+                index *= roll;
+            }
+            return prefix + (int) index;
+        }
+
         /** Whether a request may run at most once. */
         public boolean runs() {
             return mode.equals("once") || mode.equals("single");
@@ -358,36 +372,74 @@
         final Map<String, Object> services = RunLog.row();
         final Map<String, Object> routes = RunLog.row();
         for (final Backend backend : kin) {
-            services.put(
-                    backend.service(),
-                    backend.rate() > 0
-                            ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
-                            : RunLog.row("kind", backend.kind()));
-            for (final TrafficClass traffic : backend.trafficClasses()) {
-                final Map<String, Object> r = RunLog.row(
-                        "prefix",
-                        traffic.prefix(),
-                        "service",
-                        backend.service(),
-                        "mode",
-                        traffic.mode(),
-                        "purgeable",
-                        traffic.purgeable());
-                if (traffic.mode().equals("cached")) {
-                    r.put("lifetimeMs", traffic.lifetimeMs());
-                }
-                routes.put(traffic.route(), r);
-            }
+            services.put(backend.service(), backend.body());
+            backend.trafficClasses().forEach(traffic -> routes.put(traffic.route(), routeBody(traffic)));
         }
         return Json.write(RunLog.row("services", services, "routes", routes));
     }
 
+    /** The body of a route's item. */
+    public Map<String, Object> routeBody(final TrafficClass traffic) {
+        return RunLog.row(
+                "prefix",
+                traffic.prefix(),
+                "service",
+                serviceOf(traffic),
+                "mode",
+                traffic.mode(),
+                "lifetimeMs",
+                traffic.mode().equals("cached") ? traffic.lifetimeMs() : null,
+                "purgeable",
+                traffic.purgeable());
+    }
+
+    /** The service to which a route leads. */
+    public String serviceOf(final TrafficClass traffic) {
+        return kin.stream()
+                .filter(backend -> backend.trafficClasses().contains(traffic))
+                .findFirst()
+                .orElseThrow()
+                .service();
+    }
+
+    /** Log rows for an answer to the first configuration: one for each service and each route, in version 1. */
+    public List<Map<String, Object>> configRows(final long startedAt, final long endedAt, final int status) {
+        final List<Map<String, Object>> rows = new ArrayList<>();
+        for (final Backend backend : kin) {
+            final Map<String, Object> row = configRow(startedAt, endedAt, status, "SERVICE/" + backend.service());
+            row.put("service", backend.service());
+            row.put("kind", backend.kind());
+            row.put("rate", backend.rate());
+            rows.add(row);
+            backend.trafficClasses()
+                    .forEach(traffic -> rows.add(configRow(startedAt, endedAt, status, "ROUTE/" + traffic.route())));
+        }
+        return rows;
+    }
+
+    private static Map<String, Object> configRow(
+            final long startedAt, final long endedAt, final int status, final String item) {
+        return RunLog.row(
+                "log", "op", "t", startedAt, "end", endedAt, "what", "put", "item", item, "status", status, "version",
+                1);
+    }
+
     public List<TrafficClass> ways() {
         return kin.stream()
                 .flatMap(backend -> backend.trafficClasses().stream())
                 .toList();
     }
 
+    public List<TrafficClass> cachedRoutes() {
+        return ways().stream()
+                .filter(traffic -> traffic.mode().equals("cached"))
+                .toList();
+    }
+
+    public List<TrafficClass> purgeableRoutes() {
+        return cachedRoutes().stream().filter(TrafficClass::purgeable).toList();
+    }
+
     public TrafficClass pick(final double roll) {
         double sum = 0;
         for (final TrafficClass traffic : ways()) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/ItemOperator.java
@@ -53,49 +53,11 @@
         final SimNode node = cluster.anyNode();
         node.execute(() -> node.node()
                 .configurationService()
-                .applyConfiguration(text.getBytes(StandardCharsets.UTF_8), response -> {
-                    for (final Deployment.Backend backend : cluster.place().kin()) {
-                        cluster.log()
-                                .add(RunLog.row(
-                                        "log",
-                                        "op",
-                                        "t",
-                                        t,
-                                        "end",
-                                        cluster.world().now(),
-                                        "what",
-                                        "put",
-                                        "item",
-                                        "SERVICE/" + backend.service(),
-                                        "service",
-                                        backend.service(),
-                                        "kind",
-                                        backend.kind(),
-                                        "rate",
-                                        backend.rate(),
-                                        "status",
-                                        response.status(),
-                                        "version",
-                                        1));
-                        backend.trafficClasses()
-                                .forEach(traffic -> cluster.log()
-                                        .add(RunLog.row(
-                                                "log",
-                                                "op",
-                                                "t",
-                                                t,
-                                                "end",
-                                                cluster.world().now(),
-                                                "what",
-                                                "put",
-                                                "item",
-                                                "ROUTE/" + traffic.route(),
-                                                "status",
-                                                response.status(),
-                                                "version",
-                                                1)));
-                    }
-                }));
+                .applyConfiguration(
+                        text.getBytes(StandardCharsets.UTF_8),
+                        response -> cluster.place()
+                                .configRows(t, cluster.world().now(), response.status())
+                                .forEach(cluster.log()::add)));
     }
 
     /** An object changes at its back end; in a third of the cases an operator purges it a little later. */
@@ -103,17 +65,11 @@
         if (!on) {
             return;
         }
-        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
-                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
-                .toList();
+        final List<Deployment.TrafficClass> ways = cluster.place().purgeableRoutes();
         final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
         final double roll = cluster.world().dice().nextDouble();
-        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll * roll);
-        final String service = cluster.place().kin().stream()
-                .filter(backend -> backend.trafficClasses().contains(traffic))
-                .findFirst()
-                .orElseThrow()
-                .service();
+        final String path = traffic.path(roll, 3);
+        final String service = cluster.place().serviceOf(traffic);
         final long rev = cluster.stock(service).change(path);
         cluster.log().add(RunLog.row("log", "change", "t", cluster.world().now(), "path", path, "rev", rev));
         if (cluster.world().dice().nextInt(3) == 0) {
@@ -131,9 +87,7 @@
 
     @Override
     public void purge() {
-        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
-                .filter(traffic -> traffic.mode().equals("cached") && traffic.purgeable())
-                .toList();
+        final List<Deployment.TrafficClass> ways = cluster.place().purgeableRoutes();
         final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
         purge(traffic.route(), traffic.prefix() + cluster.world().dice().nextInt(traffic.objects()));
     }
@@ -143,9 +97,7 @@
         final Deployment.Backend backend = cluster.place()
                 .kin()
                 .get(cluster.world().dice().nextInt(cluster.place().kin().size()));
-        final Map<String, Object> body = backend.rate() > 0
-                ? RunLog.row("kind", backend.kind(), "rate", backend.rate())
-                : RunLog.row("kind", backend.kind());
+        final Map<String, Object> body = backend.body();
         body.put("cutoffMs", 1500 + cluster.world().dice().nextInt(1000));
         put(
                 "put",
@@ -311,26 +263,9 @@
         if (!on) {
             return;
         }
-        final List<Deployment.TrafficClass> ways = cluster.place().ways().stream()
-                .filter(traffic -> traffic.mode().equals("cached"))
-                .toList();
+        final List<Deployment.TrafficClass> ways = cluster.place().cachedRoutes();
         final Deployment.TrafficClass traffic = ways.get(cluster.world().dice().nextInt(ways.size()));
-        final String service = cluster.place().kin().stream()
-                .filter(backend -> backend.trafficClasses().contains(traffic))
-                .findFirst()
-                .orElseThrow()
-                .service();
-        final String body = Json.write(RunLog.row(
-                "prefix",
-                traffic.prefix(),
-                "service",
-                service,
-                "mode",
-                traffic.mode(),
-                "lifetimeMs",
-                traffic.lifetimeMs(),
-                "purgeable",
-                traffic.purgeable()));
+        final String body = Json.write(cluster.place().routeBody(traffic));
         for (int i = 0; i < 2; i++) {
             put("put", new ItemId(ItemKind.ROUTE, traffic.route()), body, Map.of("race", serial / 2), response -> {});
         }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimClients.java
@@ -68,7 +68,7 @@
         final Deployment.TrafficClass traffic =
                 cluster.place().pick(cluster.world().dice().nextDouble());
         final double roll = cluster.world().dice().nextDouble();
-        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll);
+        final String path = traffic.path(roll, 2);
         final String key = traffic.mode().equals("once") ? "key-" + ++keys : null;
         send(traffic, path, key, 1);
     }
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/UpdateOperator.java
@@ -224,26 +224,16 @@
         });
     }
 
-    private List<Deployment.TrafficClass> cachedRoutes() {
-        return cluster.place().ways().stream()
-                .filter(traffic -> traffic.mode().equals("cached"))
-                .toList();
-    }
-
     /** An object changes at its back end; in a third of the cases it is purged a little later, by its path or by a tag. */
     private void change() {
         if (!on) {
             return;
         }
-        final List<Deployment.TrafficClass> ways = cachedRoutes();
+        final List<Deployment.TrafficClass> ways = cluster.place().cachedRoutes();
         final Deployment.TrafficClass traffic = ways.get(random().nextInt(ways.size()));
         final double roll = random().nextDouble();
-        final String path = traffic.prefix() + (int) (traffic.objects() * roll * roll * roll);
-        final String service = cluster.place().kin().stream()
-                .filter(backend -> backend.trafficClasses().contains(traffic))
-                .findFirst()
-                .orElseThrow()
-                .service();
+        final String path = traffic.path(roll, 3);
+        final String service = cluster.place().serviceOf(traffic);
         final long rev = cluster.stock(service).change(path);
         cluster.log()
                 .add(RunLog.row(
@@ -257,7 +247,7 @@
 
     @Override
     public void purge() {
-        final List<Deployment.TrafficClass> ways = cachedRoutes();
+        final List<Deployment.TrafficClass> ways = cluster.place().cachedRoutes();
         final Deployment.TrafficClass traffic = ways.get(random().nextInt(ways.size()));
         purge(traffic, traffic.prefix() + random().nextInt(traffic.objects()), random().nextInt(4) == 0);
     }
