--- a/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
@@ -54,6 +54,6 @@
             final long ageMs,
             final VersionVector versions,
             final long retryAfterMs) {
-        this(fate, reason, status, token, headers, body, ageMs, versions, retryAfterMs, null, 0);
+        this(fate, reason, status, token, headers, body, ageMs, versions, retryAfterMs, null);
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
@@ -199,15 +199,19 @@
         return state.register(id).item().version();
     }
 
+    /** Why a vote of this epoch isn't given here; empty where it is. */
+    private Optional<Message> voteRejection(final long epoch) {
+        return rejection(epoch)
+                .or(() -> state.isStalled()
+                        ? Optional.of(new RejectedResponse(RejectedResponse.STORAGE_UNAVAILABLE))
+                        : Optional.empty());
+    }
+
     /** Phase one of a write; the response leaves once the promise is synced. */
     public void prepare(final PrepareRequest request, final Consumer<Message> callback) {
-        final Optional<Message> refusal = rejection(request.epoch());
-        if (refusal.isPresent()) {
-            callback.accept(refusal.get());
-            return;
-        }
-        if (state.isStalled()) {
-            callback.accept(new RejectedResponse(RejectedResponse.STORAGE_UNAVAILABLE));
+        final Optional<Message> rejection = voteRejection(request.epoch());
+        if (rejection.isPresent()) {
+            callback.accept(rejection.get());
             return;
         }
         final Register register = state.register(request.id());
@@ -226,13 +230,9 @@
 
     /** Phase two of a write; the response leaves once the value is synced. */
     public void accept(final AcceptRequest request, final Consumer<Message> callback) {
-        final Optional<Message> refusal = rejection(request.epoch());
-        if (refusal.isPresent()) {
-            callback.accept(refusal.get());
-            return;
-        }
-        if (state.isStalled()) {
-            callback.accept(new RejectedResponse(RejectedResponse.STORAGE_UNAVAILABLE));
+        final Optional<Message> rejection = voteRejection(request.epoch());
+        if (rejection.isPresent()) {
+            callback.accept(rejection.get());
             return;
         }
         final Ballot ballot = request.ballot();
--- a/data/src/main/java/org/rowanvalve/data/edge/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -6,7 +6,6 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import java.util.function.Predicate;
 import org.rowanvalve.common.event.EventJournal;
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.NodeId;
@@ -39,18 +38,6 @@
     private boolean closed;
     private long lastRequestAt = Long.MIN_VALUE / 2;
 
-    public Edge(
-            final EventLoop loop,
-            final Transport transport,
-            final ConfigurationView configuration,
-            final BooleanSupplier viewFresh,
-            final int shards,
-            final EventJournal journal,
-            final long cacheBytes,
-            final Predicate<NodeId> heard) {
-        this(loop, transport, configuration, viewFresh, shards, journal, cacheBytes, EdgeRouting.withoutShields(heard));
-    }
-
     public Edge(
             final EventLoop loop,
             final Transport transport,
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
@@ -1,7 +1,6 @@
 package org.rowanvalve.data.edge;
 
 import java.util.List;
-import java.util.function.Predicate;
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.data.origin.OriginDispatcher;
 
@@ -28,43 +27,4 @@
      * No majority of voters is heard from: nothing newer can be known, so requests that need no lease are forwarded.
      */
     boolean isWithoutQuorum();
-
-    static EdgeRouting withoutShields(final Predicate<NodeId> heard) {
-        return new EdgeRouting() {
-            @Override
-            public List<NodeId> nearestShields() {
-                return List.of();
-            }
-
-            @Override
-            public boolean isHeard(final NodeId id) {
-                return heard.test(id);
-            }
-
-            @Override
-            public int regionCount() {
-                return 1;
-            }
-
-            @Override
-            public int region() {
-                return 0;
-            }
-
-            @Override
-            public OriginDispatcher directDispatcher() {
-                return null;
-            }
-
-            @Override
-            public long silenceMs(final NodeId id) {
-                return 0;
-            }
-
-            @Override
-            public boolean isWithoutQuorum() {
-                return false;
-            }
-        };
-    }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
@@ -54,42 +54,18 @@
     OriginDispatcher direct;
     final Transport transport =
             (recipient, msg, wait, then) -> asked.add(new Asked(recipient, (ForwardRequest) msg, then));
-    final Edge edge = new Edge(loop, transport, configuration, () -> fresh, 1, journal, 1 << 20, new EdgeRouting() {
-        @Override
-        public List<NodeId> nearestShields() {
-            return near;
-        }
-
-        @Override
-        public boolean isHeard(final NodeId id) {
-            return near.contains(id);
-        }
-
-        @Override
-        public long silenceMs(final NodeId id) {
-            return silence.getOrDefault(id, 0L);
-        }
-
-        @Override
-        public boolean isWithoutQuorum() {
-            return alone;
-        }
-
-        @Override
-        public int regionCount() {
-            return 1;
-        }
-
-        @Override
-        public int region() {
-            return 0;
-        }
-
-        @Override
-        public OriginDispatcher directDispatcher() {
-            return direct;
-        }
-    });
+    final Edge edge =
+            new Edge(loop, transport, configuration, () -> fresh, 1, journal, 1 << 20, new FixedRouting(near, silence) {
+                @Override
+                public boolean isWithoutQuorum() {
+                    return alone;
+                }
+
+                @Override
+                public OriginDispatcher directDispatcher() {
+                    return direct;
+                }
+            });
 
     record Asked(NodeId to, ForwardRequest fill, Consumer<Reply> then) {}
 
--- a/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
@@ -77,42 +77,15 @@
         for (int i = 1; i <= SHIELDS; i++) {
             shields.put(NodeId.of("n" + i), shield("n" + i));
         }
-        edge = new Edge(loop, this::carry, configuration, () -> true, 1, journal, 1 << 20, new EdgeRouting() {
-            @Override
-            public List<NodeId> nearestShields() {
-                return List.copyOf(shields.keySet());
-            }
-
-            @Override
-            public boolean isHeard(final NodeId id) {
-                return true;
-            }
-
-            @Override
-            public long silenceMs(final NodeId id) {
-                return silence.getOrDefault(id, 0L);
-            }
-
-            @Override
-            public int regionCount() {
-                return 1;
-            }
-
-            @Override
-            public int region() {
-                return 0;
-            }
-
-            @Override
-            public OriginDispatcher directDispatcher() {
-                return null;
-            }
-
-            @Override
-            public boolean isWithoutQuorum() {
-                return false;
-            }
-        });
+        edge = new Edge(
+                loop,
+                this::carry,
+                configuration,
+                () -> true,
+                1,
+                journal,
+                1 << 20,
+                new FixedRouting(shields.keySet(), silence));
     }
 
     private Shield shield(final String name) {
--- a/server/src/main/java/org/rowanvalve/server/origin/DefaultOriginProtocol.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/DefaultOriginProtocol.java
@@ -1,6 +1,5 @@
 package org.rowanvalve.server.origin;
 
-import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
@@ -36,8 +35,7 @@
             final int status,
             final Map<String, String> heads,
             final byte[] body) {
-        final List<String> tags =
-                heads.containsKey(TAGS) ? Arrays.asList(heads.get(TAGS).trim().split(" +")) : List.of();
+        final List<String> tags = OriginProtocol.tags(heads.get(TAGS));
         return new OriginTransport.OriginResponse(
                 OriginTransport.ExchangeResult.COMPLETE, status, heads, body, "", tags, OriginTransport.Load.NONE);
     }
--- a/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/OriginProtocol.java
@@ -1,5 +1,7 @@
 package org.rowanvalve.server.origin;
 
+import java.util.Arrays;
+import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
@@ -17,6 +19,11 @@
     OriginTransport.OriginResponse read(
             Origin origin, OriginTransport.OutboundRequest request, int status, Map<String, String> heads, byte[] body);
 
+    /** Tags of a response, separated by spaces in a header; none where {@code header} is null. */
+    static List<String> tags(final String header) {
+        return header == null ? List.of() : Arrays.asList(header.trim().split(" +"));
+    }
+
     /** The headers of a valid response, given the request's headers by name; for the warm-up in this process only. */
     Map<String, String> warmupHeaders(UnaryOperator<String> heads);
 
--- a/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/PartsTest.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.common.event.EventJournal;
@@ -26,6 +27,7 @@
 import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.common.model.VersionVector;
 import org.rowanvalve.common.runtime.EventLoop;
+import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.config.ConfigurationView;
 import org.rowanvalve.control.config.ConfiguredRoute;
 import org.rowanvalve.control.config.ServiceKind;
@@ -68,6 +70,23 @@
                 Json.write(new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("sh1", 2, 5)))));
     }
 
+    private Edge edge(final Transport transport, final BooleanSupplier viewFresh) {
+        return new Edge(loop, transport, configuration, viewFresh, 1, journal, 1 << 20, new OwnerOnlyRouting());
+    }
+
+    /** What the edge asks of shields is answered through {@code asks}. */
+    private Edge edge(final List<Consumer<Reply>> asks) {
+        return edge((recipient, msg, wait, then) -> asks.add(then), () -> true);
+    }
+
+    private void ask(final Edge edge, final String path, final Consumer<ClientResponse> callback) {
+        edge.handle(new ClientRequest("GET", path, null, null, ""), callback);
+    }
+
+    private VersionVector versions() {
+        return configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1");
+    }
+
     private ForwardResponse filled(final String token, final VersionVector mark, final long age) {
         return new ForwardResponse(
                 RequestOutcome.DONE, "", 200, FencingToken.parse(token), Map.of(), "x".getBytes(), age, mark, 0);
@@ -77,19 +96,10 @@
     void anEdgeRejectsAnAnswerWithALowerToken() {
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks.add(then),
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(asks);
         final List<ClientResponse> got = new ArrayList<>();
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        final VersionVector mark =
-                configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1");
+        ask(edge, "/s/1", got::add);
+        final VersionVector mark = versions();
         asks.get(0).accept(Reply.of(filled("2.4", mark, 0)));
         assertEquals(List.of(), got);
         time.run(500);
@@ -101,27 +111,15 @@
     void anAgedCopyIsNotKeptLongerAtTheEdge() {
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks.add(then),
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(asks);
         final List<ClientResponse> got = new ArrayList<>();
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        asks.get(0)
-                .accept(Reply.of(filled(
-                        "2.5",
-                        configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"),
-                        900)));
+        ask(edge, "/s/1", got::add);
+        asks.get(0).accept(Reply.of(filled("2.5", versions(), 900)));
         time.run(99);
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        ask(edge, "/s/1", got::add);
         assertEquals(2, got.size());
         time.run(101);
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        ask(edge, "/s/1", got::add);
         assertEquals(2, got.size());
         assertEquals(2, asks.size());
     }
@@ -130,19 +128,10 @@
     void aPurgeHeardOfDuringAPassKeepsItsAnswerOut() {
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks.add(then),
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(asks);
         final List<ClientResponse> got = new ArrayList<>();
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
-        final VersionVector before =
-                configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1");
+        ask(edge, "/s/1", got::add);
+        final VersionVector before = versions();
         hold(ItemKind.PURGE, "p", "{\"route\":\"r\",\"path\":\"/s/1\"}");
         asks.get(0).accept(Reply.of(filled("2.5", before, 0)));
         assertEquals(List.of(), got, "the overtaken answer reaches nobody");
@@ -152,13 +141,9 @@
         time.run(500);
         asks.get(2).accept(Reply.of(filled("2.5", before, 0)));
         assertEquals(503, got.get(0).status());
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        ask(edge, "/s/1", got::add);
         assertEquals(4, asks.size(), "nothing was kept");
-        asks.get(3)
-                .accept(Reply.of(filled(
-                        "2.5",
-                        configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"),
-                        0)));
+        asks.get(3).accept(Reply.of(filled("2.5", versions(), 0)));
         assertEquals(200, got.get(1).status());
     }
 
@@ -167,29 +152,21 @@
     void manyMarksOfAHotObjectMakeOnePassEach() {
         stock(1000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks.add(then),
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(asks);
         final List<ClientResponse> got = new ArrayList<>();
         final List<VersionVector> marks = new ArrayList<>();
         for (int round = 0; round < 3; round++) {
             for (int i = 0; i < 40; i++) {
-                edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+                ask(edge, "/s/1", got::add);
             }
-            marks.add(configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"));
+            marks.add(versions());
             hold(ItemKind.PURGE, "p" + round, "{\"route\":\"r\",\"path\":\"/s/1\"}");
         }
         assertEquals(3, asks.size());
         for (int i = 0; i < 40; i++) {
-            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            ask(edge, "/s/1", got::add);
         }
-        marks.add(configuration.versionsOf(configuration.routeNamed("r").orElseThrow(), "/s/1"));
+        marks.add(versions());
         for (int i = 0; i < 4; i++) {
             asks.get(i).accept(Reply.of(filled("2.5", marks.get(i), 0)));
         }
@@ -220,18 +197,10 @@
                         "when",
                         "int(query) < 3 && path.startsWith('/s/a')")));
         final int[] asks = {0};
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks[0]++,
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge((recipient, msg, wait, then) -> asks[0]++, () -> true);
         final List<Integer> got = new ArrayList<>();
         for (final String path : List.of("/s/a?2", "/s/b?2", "/s/a?5", "/s/a?many")) {
-            edge.handle(new ClientRequest("GET", path, null, null, ""), response -> got.add(response.status()));
+            ask(edge, path, response -> got.add(response.status()));
         }
         assertEquals(List.of(403, 403, 400), got);
         assertEquals(1, asks[0], "the first is on its way");
@@ -256,17 +225,9 @@
                                 "{\"prefix\":\"/s/late/\",\"service\":\"gone\",\"mode\":\"cached\",\"lifetimeMs\":9,\"purgeable\":true}",
                                 "t")));
         final int[] asks = {0};
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks[0]++,
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge((recipient, msg, wait, then) -> asks[0]++, () -> true);
         final List<ClientResponse> got = new ArrayList<>();
-        edge.handle(new ClientRequest("GET", "/s/late/1", null, null, ""), got::add);
+        ask(edge, "/s/late/1", got::add);
         assertEquals("503 refused", got.get(0).status() + " " + got.get(0).fate());
         assertEquals(0, asks[0], "not even the wider route gets it");
         final org.rowanvalve.control.operator.ConfigurationService clerk =
@@ -325,29 +286,21 @@
     void aCopyEndsWithAPurge() {
         stock(60_000);
         final List<Consumer<Reply>> asks = new ArrayList<>();
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> asks.add(then),
-                configuration,
-                () -> true,
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(asks);
         final List<ClientResponse> got = new ArrayList<>();
         for (final String purge :
                 List.of("{\"route\":\"r\",\"path\":\"/s/1\"}", "{\"route\":\"r\",\"prefix\":\"/s/\"}")) {
-            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            ask(edge, "/s/1", got::add);
             asks.get(asks.size() - 1)
                     .accept(Reply.of(filled(
                             "2.5",
                             configuration.versionsOf(
                                     configuration.routeNamed("r").orElseThrow(), "/s/1"),
                             0)));
-            edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+            ask(edge, "/s/1", got::add);
             hold(ItemKind.PURGE, "p" + purge.length(), purge);
         }
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), got::add);
+        ask(edge, "/s/1", got::add);
         assertEquals(
                 List.of("miss", "hit", "miss", "hit"),
                 got.stream().map(response -> response.headers().get("Rv-Cache")).toList());
@@ -375,26 +328,19 @@
                 "o",
                 "{\"prefix\":\"/o/\",\"service\":\"b\",\"mode\":\"once\",\"lifetimeMs\":0,\"purgeable\":true}");
         final boolean[] fresh = {true};
-        final Edge edge = new Edge(
-                loop,
-                (recipient, msg, wait, then) -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)),
-                configuration,
-                () -> fresh[0],
-                1,
-                journal,
-                1 << 20,
-                node -> true);
+        final Edge edge = edge(
+                (recipient, msg, wait, then) -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)), () -> fresh[0]);
         final List<String> got = new ArrayList<>();
         final Consumer<ClientResponse> note = response -> got.add(response.status() + " " + response.fate());
-        edge.handle(new ClientRequest("GET", "/none", null, null, ""), note);
+        ask(edge, "/none", note);
         edge.handle(new ClientRequest("POST", "/s/1", null, null, ""), note);
         edge.handle(new ClientRequest("POST", "/o/1", "k", new byte[11], ""), note);
         edge.handle(new ClientRequest("POST", "/o/1", "", new byte[1], ""), note);
         edge.handle(new ClientRequest("POST", "/o/1", "k", new byte[1], ""), note);
         fresh[0] = false;
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), note);
+        ask(edge, "/s/1", note);
         edge.close();
-        edge.handle(new ClientRequest("GET", "/s/1", null, null, ""), note);
+        ask(edge, "/s/1", note);
         assertEquals(
                 List.of(
                         "404 refused",
