--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptedValueComparison.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptedValueComparison.java
@@ -22,30 +22,32 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Learns which accepted values are chosen by comparing them, without a ballot for each: a value that a write quorum of
- * one epoch has accepted under one ballot is chosen. The voters exchange checksums by bucket over what they have
- * accepted and synced; all values of a bucket whose checksum is the same at a write quorum are chosen. The cost follows
- * from the number of buckets and not from the number of values.
+ * Finds the accepted values that are chosen by comparing the states of the voters, instead of running a ballot for each
+ * value. A value is chosen if a write quorum of one epoch has accepted it under the same ballot. The voters exchange
+ * one checksum per bucket over the values that they have accepted and synced. If the checksum of a bucket is the same
+ * at a write quorum, all values of this bucket are chosen. The cost depends on the number of buckets and not on the
+ * number of values.
  *
- * <p>Safety: both sides take their checksums before they wait for their disks, so each value counted was synced by the
- * voter that counts for it. A voter accepts under a ballot only what that ballot proposed, so two values under one
- * ballot are the same, and any later ballot finds this value, or a later one, at every read quorum.
+ * <p>Safety: both sides compute their checksums before they wait for their disks, so each value that counts is synced
+ * by every voter that counts for it. A voter accepts under a ballot only the value that this ballot proposed, so two
+ * values with the same ballot are equal, and every later ballot finds this value, or a later one, at every read
+ * quorum.
  *
- * <p>A voter of an earlier release does not know the request and closes the connection; so the pause doubles after each
- * round to which too few voters have answered.
+ * <p>A voter of an earlier release does not know the request and closes the connection. Therefore the delay before the
+ * next round doubles after each round in which too few voters responded.
  */
 final class AcceptedValueComparison {
     static final int BUCKETS = 1024;
     private static final long TIMEOUT_MILLIS = 500;
-    private static final long RETRY_MS = 100;
-    private static final int MAX_RETRY_DOUBLINGS = 4;
+    private static final long MIN_ROUND_DELAY_MS = 100;
+    private static final int MAX_DELAY_DOUBLINGS = 4;
     private final NodeId self;
     private final VotingConfiguration votingConfiguration;
     private final AcceptorState state;
     private final EventLoop loop;
     private final Transport transport;
-    private Round current;
-    private long nextAt = Long.MIN_VALUE;
+    private Round currentRound;
+    private long nextRoundAt = Long.MIN_VALUE;
     private int failures;
 
     AcceptedValueComparison(final VoterContext context, final AcceptorState state) {
@@ -57,14 +59,14 @@
     }
 
     /**
-     * Begins a round unless one is under way. {@code learner} gets every value that is found to be chosen;
-     * {@code examined} gets the registers that were compared, once enough voters have answered. Without that nothing is
-     * said, and the caller tries again.
+     * Starts a round, unless one is in progress or the delay after the last one is not over. {@code learner} receives
+     * every value that is found to be chosen. {@code examined} receives the registers that were compared, once enough
+     * voters have responded. It is not called if too few voters respond; the caller then has to try again.
      */
     void run(final Consumer<ChosenItem> learner, final Consumer<Collection<ItemId>> examined) {
-        if (current == null && loop.now() >= nextAt) {
-            current = new Round(learner, examined);
-            current.start();
+        if (currentRound == null && loop.now() >= nextRoundAt) {
+            currentRound = new Round(learner, examined);
+            currentRound.start();
         }
     }
 
@@ -75,7 +77,7 @@
                 .toList();
         private final List<Long> ownChecksums = AcceptorState.checksums(accepted, BUCKETS);
         private final Map<NodeId, List<Long>> checksums = new HashMap<>();
-        private final Set<NodeId> answered = new HashSet<>();
+        private final Set<NodeId> responded = new HashSet<>();
         private final Consumer<ChosenItem> learner;
         private final Consumer<Collection<ItemId>> examined;
 
@@ -85,12 +87,12 @@
         }
 
         void start() {
-            state.whenSynced(this::ask);
+            state.whenSynced(this::requestChecksums);
             loop.schedule(2 * TIMEOUT_MILLIS, this::end);
         }
 
-        private void ask() {
-            if (current != this) {
+        private void requestChecksums() {
+            if (currentRound != this) {
                 return;
             }
             final List<NodeId> others = quorum.voters().stream()
@@ -109,29 +111,29 @@
 
         private void onReply(final NodeId voter, final Reply reply) {
             votingConfiguration.isEpochMismatch(voter, reply);
-            if (current != this || quorum.epoch() != votingConfiguration.epoch()) {
+            if (currentRound != this || quorum.epoch() != votingConfiguration.epoch()) {
                 end();
                 return;
             }
-            answered.add(voter);
+            responded.add(voter);
             reply.as(AcceptedChecksumsResponse.class)
                     .filter(response -> response.checksums().size() == BUCKETS)
                     .ifPresent(response -> {
                         checksums.put(voter, response.checksums());
                         learnEqualBuckets();
                     });
-            if (answered.size() == quorum.voters().size() - 1) {
+            if (responded.size() == quorum.voters().size() - 1) {
                 finish();
             }
         }
 
         private void finish() {
-            final boolean enough = checksums.size() + 1 >= quorum.majority();
-            if (enough) {
+            final boolean hasMajority = checksums.size() + 1 >= quorum.majority();
+            if (hasMajority) {
                 examined.accept(
                         accepted.stream().map(register -> register.item().id()).toList());
             }
-            failures = enough ? 0 : Math.min(MAX_RETRY_DOUBLINGS, failures + 1);
+            failures = hasMajority ? 0 : Math.min(MAX_DELAY_DOUBLINGS, failures + 1);
             end();
         }
 
@@ -147,19 +149,19 @@
         }
 
         private boolean isEqualAtWriteQuorum(final int bucket) {
-            final Set<NodeId> equal = new HashSet<>(Set.of(self));
+            final Set<NodeId> matching = new HashSet<>(Set.of(self));
             checksums.forEach((voter, sums) -> {
                 if (sums.get(bucket).equals(ownChecksums.get(bucket))) {
-                    equal.add(voter);
+                    matching.add(voter);
                 }
             });
-            return quorum.isWriteQuorum(equal);
+            return quorum.isWriteQuorum(matching);
         }
 
         private void end() {
-            if (current == this) {
-                current = null;
-                nextAt = loop.now() + (RETRY_MS << failures);
+            if (currentRound == this) {
+                currentRound = null;
+                nextRoundAt = loop.now() + (MIN_ROUND_DELAY_MS << failures);
             }
         }
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Acceptor.java
@@ -37,11 +37,14 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * One voter over all registers, or a standby that may become one. It answers only in the present epoch of the voting
- * set, and only with a state that holds all it ever answered in that epoch; else two majorities could miss each other.
+ * The Paxos acceptor of this node for all registers. The node is a voter, or a standby that may become one.
+ *
+ * <p>Safety: a voter answers only requests of the current epoch of the voting set, and only while its state covers
+ * every promise and every accepted value that it has reported in that epoch. Otherwise the only voter that two
+ * majorities have in common could have lost its answer to the first one.
  */
 public final class Acceptor {
-    private static final long RETRY_MS = 400;
+    private static final long CATCH_UP_INTERVAL_MS = 400;
     private final NodeId self;
     private final VotingConfiguration votingConfiguration;
     private final EventLoop loop;
@@ -64,7 +67,7 @@
             final EventJournal journal,
             final String incarnation,
             final boolean firstStart,
-            final BooleanSupplier virgin) {
+            final BooleanSupplier nothingReported) {
         this.self = self;
         this.votingConfiguration = votingConfiguration;
         this.loop = loop;
@@ -73,16 +76,16 @@
         this.firstStart = firstStart;
         state = new AcceptorState(storage, journal);
         final VoterContext context = new VoterContext(self, incarnation, votingConfiguration, loop, transport, journal);
-        recovery =
-                new AcceptorStateRecovery(context, state, firstStart, virgin, this::isVoting, () -> stateRebuilt.run());
+        recovery = new AcceptorStateRecovery(
+                context, state, firstStart, nothingReported, this::isVoting, () -> stateRebuilt.run());
         comparison = new AcceptedValueComparison(context, state);
         handover = new AcceptorHandover(context, state, this::onJoined);
     }
 
-    /** Reads the state from disk; fails where it cannot be read. */
+    /** Loads the state from disk, and fails if the rows cannot be read. */
     public void start() throws StorageException {
         recovery.start();
-        final ChosenItem set = state.load();
+        final ChosenItem votingSet = state.load();
         if (!state.complete()) {
             if (votingConfiguration.isVoter(self)) {
                 journal.add(Event.of(EventCode.AMNESIA, "boot", incarnation));
@@ -92,14 +95,13 @@
             }
         }
         votingConfiguration.addListener(this::onVotingSetChange);
-        if (set != null) {
-            votingConfiguration.reconcile(self, set.item().version().number(), set);
+        if (votingSet != null) {
+            votingConfiguration.reconcile(self, votingSet.item().version().number(), votingSet);
         }
         handover.onVotingSetChange();
         tick();
     }
 
-    /** Called when the voting set has changed. */
     private void onVotingSetChange() {
         journal.add(Event.of(
                 EventCode.VOTERS_SET,
@@ -116,15 +118,18 @@
 
     private void tick() {
         catchUp();
-        loop.schedule(RETRY_MS, this::tick);
+        loop.schedule(CATCH_UP_INTERVAL_MS, this::tick);
     }
 
-    /** A voter that cannot vote yet reads the earlier set, or, where its state was lost, the others of its own set. */
+    /**
+     * Brings a voter that cannot vote yet up to date. If it has lost no vote, it reads the state of the previous voting
+     * set; if its state is lost, it reads the state of the other voters of its own epoch.
+     */
     private void catchUp() {
         if (isVoting() || !votingConfiguration.isVoter(self)) {
             return;
         }
-        if (votingConfiguration.epoch() > state.epoch() && state.isContinuous()) {
+        if (votingConfiguration.epoch() > state.epoch() && state.hasLostNoVotes()) {
             prefillItems();
             handover.readPreviousSet();
         } else if (!state.complete()) {
@@ -141,32 +146,35 @@
     }
 
     /**
-     * Sets what runs once a lost state is rebuilt: what the node has learned meanwhile is not in what was read from
-     * others.
+     * Sets a listener that runs once this voter can vote after rebuilding a lost state or joining a new voting set.
+     * Chosen items that the node has learned meanwhile are not part of the state read from the other voters.
      */
-    public void onStateRebuilt(final Runnable job) {
-        stateRebuilt = job;
+    public void onStateRebuilt(final Runnable listener) {
+        stateRebuilt = listener;
     }
 
-    /** {@code known}: all chosen items that this node holds; they need not be handed over. */
-    public void prefillItems(final Supplier<? extends Iterable<ChosenItem>> known) {
-        prefillItems = () -> known.get().forEach(this::merge);
+    /**
+     * Sets the supplier of all chosen items known to this node. They are merged into the state before a handover, so
+     * that the previous voters need not send them.
+     */
+    public void prefillItems(final Supplier<? extends Iterable<ChosenItem>> knownItems) {
+        prefillItems = () -> knownItems.get().forEach(this::merge);
     }
 
-    public void connectRecords(final RecordHandover store) {
-        handover.recordHandover(store);
-        recovery.recordHandover(store);
+    public void connectRecords(final RecordHandover records) {
+        handover.connectRecords(records);
+        recovery.connectRecords(records);
     }
 
     /**
-     * Compares what was accepted here with what the other voters accepted. {@code learner} gets every value that is
-     * found to be chosen; {@code examined} the registers that were compared, where enough voters answer.
+     * Compares the values accepted here with those accepted by the other voters. {@code learner} receives every value
+     * that is found to be chosen; {@code examined} receives the registers that were compared, if enough voters respond.
      */
     void compareAcceptedValues(final Consumer<ChosenItem> learner, final Consumer<Collection<ItemId>> examined) {
         comparison.run(learner, examined);
     }
 
-    /** Answers another voter's comparison once all that its checksums cover is synced here. */
+    /** Responds to another voter's comparison once every value that the checksums cover is synced here. */
     public void acceptedChecksums(final AcceptedChecksumsRequest request, final Consumer<Message> callback) {
         final Optional<Message> rejection = rejection(request.epoch());
         if (rejection.isPresent()) {
@@ -181,17 +189,17 @@
         state.whenSynced(() -> callback.accept(new AcceptedChecksumsResponse(checksums)));
     }
 
-    /** Whether this voter lacks none of the state that it once had. */
+    /** Whether this voter's state is complete: it is not lost, or it has been rebuilt since. */
     public boolean hasState() {
         return state.complete();
     }
 
-    /** Whether this voter answers in the present epoch. */
+    /** Whether this node votes in the current epoch. */
     public boolean isVoting() {
         return state.complete() && state.epoch() == votingConfiguration.epoch() && votingConfiguration.isVoter(self);
     }
 
-    /** Why a request of this epoch is not answered here; empty where it is. */
+    /** The response that rejects a request of this epoch, or empty if the request may be answered. */
     public Optional<Message> rejection(final long epoch) {
         if (epoch != votingConfiguration.epoch()) {
             return Optional.of(votingConfiguration.epochMismatch());
@@ -201,7 +209,7 @@
                 : Optional.of(new RejectedResponse(state.complete() ? "not voting" : "amnesia"));
     }
 
-    /** How often this state, or the one it was rebuilt from, was the only copy left. */
+    /** How often this state, or a state that it was rebuilt from, was the only copy left. */
     public long resumptions() {
         return state.resumptions();
     }
@@ -214,7 +222,10 @@
         return state.registers();
     }
 
-    /** {@code listener} gets the name of each register right after it has changed or was removed, in the event loop. */
+    /**
+     * Adds a listener that receives the ID of each register in the event loop, right after the register was changed or
+     * removed.
+     */
     public void addRegisterListener(final Consumer<ItemId> listener) {
         state.addRegisterListener(listener);
     }
@@ -223,7 +234,7 @@
         return state.register(id).item().version();
     }
 
-    /** Why a vote of this epoch isn't given here; empty where it is. */
+    /** Like {@link #rejection}, but also rejects votes while the storage is stalled. */
     private Optional<Message> voteRejection(final long epoch) {
         return rejection(epoch)
                 .or(() -> state.isStalled()
@@ -231,7 +242,7 @@
                         : Optional.empty());
     }
 
-    /** Phase one of a write; the response leaves once the promise is synced. */
+    /** Handles phase one of a write. The response is sent once the promise is synced. */
     public void prepare(final PrepareRequest request, final Consumer<Message> callback) {
         final Optional<Message> rejection = voteRejection(request.epoch());
         if (rejection.isPresent()) {
@@ -252,7 +263,7 @@
                         new PrepareResponse(true, request.ballot(), updated.acceptedBallot(), updated.item())));
     }
 
-    /** Phase two of a write; the response leaves once the value is synced. */
+    /** Handles phase two of a write. The response is sent once the accepted value is synced. */
     public void accept(final AcceptRequest request, final Consumer<Message> callback) {
         final Optional<Message> rejection = voteRejection(request.epoch());
         if (rejection.isPresent()) {
@@ -274,25 +285,28 @@
     }
 
     /**
-     * Drops the registers of collected items; the ballot floor keeps what was promised or accepted for them from coming
-     * back.
+     * Drops the registers of garbage-collected items. The ballot floor rises to their ballots, so that a delayed
+     * message cannot restore a dropped promise or value.
      */
-    public void collect(final CollectionFloor sweep) {
-        final List<Register> dead = !state.complete() || state.isStalled()
+    public void collect(final CollectionFloor collectionFloor) {
+        final List<Register> collected = !state.complete() || state.isStalled()
                 ? List.of()
                 : state.registers().values().stream()
                         .filter(register -> register.item().id().kind().sharesVersionCounter()
-                                && sweep.covers(
+                                && collectionFloor.covers(
                                         register.item().id(),
                                         register.item().version().number())
-                                && sweep.floor(register.item().id().kind()) > 0)
+                                && collectionFloor.floor(register.item().id().kind()) > 0)
                         .toList();
-        if (!dead.isEmpty()) {
-            state.drop(dead);
+        if (!collected.isEmpty()) {
+            state.drop(collected);
         }
     }
 
-    /** A chosen value may be stored at any time: whoever prepares above its ballot reads it from a majority anyway. */
+    /**
+     * Stores a chosen value. This is safe at any time, since every prepare with a higher ballot reads this value, or a
+     * later one, from a majority anyway.
+     */
     public void learn(final ChosenItem chosen) {
         if (isVoting() && merge(chosen)) {
             state.save(state.register(chosen.item().id()), () -> {});
@@ -301,17 +315,17 @@
 
     private boolean merge(final ChosenItem chosen) {
         final Register register = state.register(chosen.item().id());
-        final boolean news = chosen.item().version().isAbove(register.item().version())
+        final boolean isNewer = chosen.item().version().isAbove(register.item().version())
                 && chosen.ballot().isAbove(register.acceptedBallot());
-        if (news) {
+        if (isNewer) {
             final Ballot promised =
                     chosen.ballot().isAbove(register.promisedBallot()) ? chosen.ballot() : register.promisedBallot();
             state.put(new Register(promised, chosen.ballot(), chosen.item()));
         }
-        return news;
+        return isNewer;
     }
 
-    /** Answers a voter of the same epoch that lost its state. */
+    /** Responds to a voter of the same epoch that has lost its state. */
     public void transferState(final NodeId from, final StateTransferRequest request, final Consumer<Message> callback) {
         if (request.epoch() != votingConfiguration.epoch()) {
             callback.accept(votingConfiguration.epochMismatch());
@@ -331,7 +345,8 @@
     }
 
     /**
-     * Prepares to be a voter of the next set. {@code current}: this node's view was confirmed by the present voters.
+     * Prepares this node to become a voter of the next set. {@code current}: whether the current voters have confirmed
+     * this node's view.
      */
     public void prepareStandby(final long epoch, final boolean current, final Consumer<Message> callback) {
         if (epoch != votingConfiguration.epoch()) {
@@ -344,8 +359,11 @@
         }
     }
 
-    /** An operator vouches that one voter holds all: its copy is taken without a majority. */
-    public void vouch(final NodeId from, final Consumer<Boolean> then) {
-        recovery.vouch(from, then);
+    /**
+     * Rebuilds the state from a single voter, without a majority, after an operator has vouched that this voter's state
+     * is complete.
+     */
+    public void vouch(final NodeId from, final Consumer<Boolean> callback) {
+        recovery.vouch(from, callback);
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorHandover.java
@@ -23,10 +23,13 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * The change from one voting set to the next. A voter of the earlier set seals it: once the chosen later set is synced,
- * it answers nothing more in the earlier epoch and hands over what it holds. A voter of the later set reads a majority
- * of the sealed earlier set, syncs all that together with the new epoch, and only then votes. A voter that is late may
- * read a single voter of its own epoch, since that one has read such a majority and nothing was promised here since.
+ * Hands the state of one voting set over to the next. A voter of the previous set seals its epoch: once the chosen
+ * later set is synced on its disk, it answers no more requests of the previous epoch and hands over its state. A voter
+ * of the later set reads the state of a majority of the sealed previous set, syncs this state together with the new
+ * epoch, and votes only after that.
+ *
+ * <p>A late voter may instead read a single voter of its own epoch. This is safe because that voter has already read
+ * such a majority, and the late voter itself has promised nothing in this epoch.
  */
 final class AcceptorHandover {
     private static final long RETRY_MS = 100;
@@ -40,9 +43,9 @@
     private final Runnable joined;
     private final List<Runnable> waitingForSeal = new ArrayList<>();
     private RecordHandover recordHandover = RecordHandover.NONE;
-    private Reading reading;
+    private PreviousSetRead currentRead;
 
-    /** {@code joined}: run once this voter votes in the present epoch. */
+    /** {@code joined}: runs once this voter votes in the current epoch. */
     AcceptorHandover(final VoterContext context, final AcceptorState state, final Runnable joined) {
         this.self = context.self();
         this.votingConfiguration = context.votingConfiguration();
@@ -53,13 +56,16 @@
         this.joined = joined;
     }
 
-    void recordHandover(final RecordHandover store) {
-        recordHandover = store;
+    void connectRecords(final RecordHandover records) {
+        recordHandover = records;
     }
 
-    /** Called when the voting set has changed: nothing more is answered in the earlier epoch, and that is synced. */
+    /**
+     * Called when the voting set has changed. Syncs the new set, which seals the previous epoch: this voter answers no
+     * more requests of it.
+     */
     void onVotingSetChange() {
-        reading = null;
+        currentRead = null;
         seal();
     }
 
@@ -70,50 +76,56 @@
                 .ifPresent(this::seal);
     }
 
-    private void seal(final ChosenItem set) {
-        state.saveVotingSet(set, this::sealed, () -> loop.schedule(RETRY_MS, this::seal));
+    private void seal(final ChosenItem votingSet) {
+        state.saveVotingSet(votingSet, this::onSealed, () -> loop.schedule(RETRY_MS, this::seal));
     }
 
-    private void sealed() {
+    private void onSealed() {
         if (state.sealedEpoch() < votingConfiguration.epoch()) {
             return;
         }
         final List<Runnable> waiting = List.copyOf(waitingForSeal);
         waitingForSeal.clear();
         waiting.forEach(Runnable::run);
-        if (reading != null) {
-            reading.countOwnState();
+        if (currentRead != null) {
+            currentRead.countOwnState();
         }
     }
 
-    /** What this voter held when it was sealed stands for its part of the earlier set. */
+    /**
+     * Whether this voter may hand over its state: the state is complete, and it is of the current epoch, or of the
+     * previous one in which this node was a voter.
+     */
     private boolean canHandOver() {
-        final long present = votingConfiguration.epoch();
+        final long currentEpoch = votingConfiguration.epoch();
         return state.complete()
                 && !recordHandover.isIncomplete()
-                && (state.epoch() == present
-                        || state.epoch() == present - 1
+                && (state.epoch() == currentEpoch
+                        || state.epoch() == currentEpoch - 1
                                 && votingConfiguration.previousVoters().contains(self));
     }
 
-    /** The asker names the chosen set, so asking seals; the answer waits until that is synced. */
+    /**
+     * Runs {@code respond} once the epochs before the requester's voting set are sealed on this disk. The request
+     * contains that chosen set, so it starts the sealing if this voter has not learned the set yet.
+     */
     private void whenSealed(
-            final NodeId from, final ChosenItem set, final Consumer<Message> callback, final Runnable answer) {
-        final long asked = set.item().version().number();
-        votingConfiguration.reconcile(from, asked, set);
-        final Runnable checked = () -> {
-            if (votingConfiguration.epoch() != asked) {
+            final NodeId from, final ChosenItem votingSet, final Consumer<Message> callback, final Runnable respond) {
+        final long requestedEpoch = votingSet.item().version().number();
+        votingConfiguration.reconcile(from, requestedEpoch, votingSet);
+        final Runnable respondIfCurrent = () -> {
+            if (votingConfiguration.epoch() != requestedEpoch) {
                 callback.accept(votingConfiguration.epochMismatch());
             } else if (canHandOver()) {
-                answer.run();
+                respond.run();
             } else {
                 callback.accept(new RejectedResponse("nothing to hand over"));
             }
         };
         if (state.sealedEpoch() >= votingConfiguration.epoch()) {
-            checked.run();
+            respondIfCurrent.run();
         } else {
-            waitingForSeal.add(checked);
+            waitingForSeal.add(respondIfCurrent);
         }
     }
 
@@ -129,7 +141,7 @@
                 () -> callback.accept(recordHandover.page(request.checksums(), request.afterKey())));
     }
 
-    /** One that asks without a position gets complete buckets. */
+    /** A request without a position gets pages of whole buckets. */
     private RegisterHandoverResponse page(final RegisterHandoverRequest request) {
         final boolean withinBuckets = request.position() != null;
         final RegisterPosition from =
@@ -137,7 +149,7 @@
         final RegisterTable.Page page = state.page(request.checksums(), from, withinBuckets);
         return new RegisterHandoverResponse(
                 state.epoch(),
-                state.top(),
+                state.highestRound(),
                 state.resumptions(),
                 state.founders(),
                 page.registers(),
@@ -147,16 +159,19 @@
                 withinBuckets ? page.next() : null);
     }
 
-    /** Requests what is still missing; called repeatedly until this voter votes or the set has changed once more. */
+    /**
+     * Requests the state that is still missing. Called repeatedly until this voter votes or the voting set changes
+     * again.
+     */
     void readPreviousSet() {
-        if (reading == null || reading.epoch != votingConfiguration.epoch()) {
-            reading = new Reading(votingConfiguration.chosenSet().orElseThrow());
+        if (currentRead == null || currentRead.epoch != votingConfiguration.epoch()) {
+            currentRead = new PreviousSetRead(votingConfiguration.chosenSet().orElseThrow());
         }
-        reading.requestMissing();
+        currentRead.requestMissing();
     }
 
-    /** One reading of the earlier set, for one epoch. */
-    private final class Reading {
+    /** The read of the previous voting set's state by a voter of one epoch. */
+    private final class PreviousSetRead {
         private final ChosenItem votingSet;
         private final long epoch;
         private final List<NodeId> previousVoters = votingConfiguration.previousVoters();
@@ -165,13 +180,13 @@
         private boolean hasMajority;
         private boolean writing;
 
-        Reading(final ChosenItem votingSet) {
+        PreviousSetRead(final ChosenItem votingSet) {
             this.votingSet = votingSet;
             this.epoch = votingSet.item().version().number();
         }
 
         private boolean isCurrent() {
-            return reading == this && !writing && votingConfiguration.epoch() == epoch;
+            return currentRead == this && !writing && votingConfiguration.epoch() == epoch;
         }
 
         void requestMissing() {
@@ -189,10 +204,12 @@
             }
         }
 
-        /** This voter's own state of the earlier epoch counts like one that was read, once it is sealed. */
+        /**
+         * Counts this voter's own state of the previous epoch like a state that was read, once that epoch is sealed.
+         */
         void countOwnState() {
-            final boolean sealed = state.sealedEpoch() >= epoch && state.epoch() == epoch - 1;
-            if (isCurrent() && sealed && previousVoters.contains(self) && canHandOver()) {
+            final boolean isOwnStateSealed = state.sealedEpoch() >= epoch && state.epoch() == epoch - 1;
+            if (isCurrent() && isOwnStateSealed && previousVoters.contains(self) && canHandOver()) {
                 countSource(self, state.epoch());
             }
         }
@@ -248,7 +265,7 @@
                     });
         }
 
-        /** {@code sourceEpoch}: the last epoch that the source has voted in. */
+        /** {@code sourceEpoch}: the last epoch in which the source has voted. */
         private void countSource(final NodeId source, final long sourceEpoch) {
             completed.add(source);
             hasMajority |= sourceEpoch >= epoch
@@ -280,7 +297,7 @@
                     "items",
                     state.registers().size()));
             if (votingConfiguration.epoch() == epoch) {
-                reading = null;
+                currentRead = null;
             }
             joined.run();
         }
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorState.java
@@ -23,18 +23,25 @@
 import org.rowanvalve.control.store.ItemDigest;
 
 /**
- * What a voter stores, in rows on its disk: its registers, a floor under all ballots, the epoch it last voted in, and
- * the latest chosen voting set that it has synced.
+ * The durable state of a voter, stored as rows on its disk: its registers, the ballot floor, at or below which it
+ * rejects every ballot, the last epoch it voted in, and the latest chosen voting set that it has synced.
  */
 public final class AcceptorState {
+    /**
+     * Row with the {@link Seal}. If it is missing, the state is incomplete and the registers on the disk do not count.
+     */
     private static final String SEAL_KEY = "seal";
+
     private static final String REGISTER_PREFIX = "e/";
     /**
-     * Marks a disk that was there at the network's first start; at a later start it shows, without a seal, that nothing
-     * was lost.
+     * Row that marks a disk as present at the first start of the network. A later start that finds this row and no seal
+     * has lost nothing.
      */
     private static final String FIRST_START_KEY = "first";
-    /** On the disk of a standby: up to this epoch it has never voted with a state that is now lost. */
+    /**
+     * Row on the disk of a standby with the epoch in which it was prepared. While the row exists, no vote that this
+     * node gave after that epoch is lost.
+     */
     private static final String STANDBY_KEY = "standby";
 
     private static final String VOTING_SET_KEY = "voters";
@@ -65,9 +72,9 @@
         this.journal = journal;
     }
 
-    /** Reads the rows; returns the latest chosen set of voters among them, or null. */
+    /** Loads the rows and returns the latest chosen voting set among them, or null if there is none. */
     ChosenItem load() throws StorageException {
-        ChosenItem voters = null;
+        ChosenItem votingSet = null;
         try {
             for (final Map.Entry<String, byte[]> row : storage.load().entrySet()) {
                 if (row.getKey().equals(SEAL_KEY)) {
@@ -82,41 +89,41 @@
                 } else if (row.getKey().equals(STANDBY_KEY)) {
                     standbySaved = true;
                 } else if (row.getKey().equals(VOTING_SET_KEY)) {
-                    voters = MessageCodec.decode(row.getValue(), ChosenItem.class);
+                    votingSet = MessageCodec.decode(row.getValue(), ChosenItem.class);
                 } else if (row.getKey().startsWith(REGISTER_PREFIX)) {
                     put(MessageCodec.decode(row.getValue(), Register.class));
                 }
             }
         } catch (final MessageFormatException e) {
-            throw new StorageException("voter rows cannot be read", e);
+            throw new StorageException("rows of the voter state cannot be decoded", e);
         }
-        sealedEpoch = voters == null ? 0 : voters.item().version().number();
+        sealedEpoch = votingSet == null ? 0 : votingSet.item().version().number();
         if (!complete) {
             registers.clear();
         }
-        return voters;
+        return votingSet;
     }
 
     boolean complete() {
         return complete;
     }
 
-    /** The disk was there at the network's first start. */
+    /** Whether this disk was present at the first start of the network. */
     boolean firstStart() {
         return firstStart;
     }
 
-    /** Whether every vote of this machine that still counts is stored here, or none was given. */
-    boolean isContinuous() {
+    /** Whether every vote of this node that still counts is stored here, or it has given none. */
+    boolean hasLostNoVotes() {
         return complete || standbySaved || firstStart;
     }
 
-    /** The last epoch in which this state took part in votes. */
+    /** The last epoch in which this voter voted with this state. */
     long epoch() {
         return epoch;
     }
 
-    /** The epoch of the latest chosen set that is synced here: all earlier epochs are sealed. */
+    /** The epoch of the latest chosen voting set that is synced here. All earlier epochs are sealed. */
     long sealedEpoch() {
         return sealedEpoch;
     }
@@ -138,7 +145,7 @@
     }
 
     Map<ItemId, Register> registers() {
-        return registers.all();
+        return registers.registers();
     }
 
     void addRegisterListener(final Consumer<ItemId> listener) {
@@ -146,20 +153,20 @@
     }
 
     Register register(final ItemId id) {
-        return registers.all().getOrDefault(id, new Register(Ballot.ZERO, Ballot.ZERO, Item.none(id)));
+        return registers.registers().getOrDefault(id, new Register(Ballot.ZERO, Ballot.ZERO, Item.none(id)));
     }
 
-    /** The lowest ballot that a prepare must exceed here. */
+    /** The ballot that a prepare of this register must exceed. The proposer "~" sorts after every node ID. */
     Ballot highestBallot(final Register register) {
-        final Ballot low = new Ballot(ballotFloor, "~");
-        return register.promisedBallot().isAbove(low) ? register.promisedBallot() : low;
+        final Ballot floor = new Ballot(ballotFloor, "~");
+        return register.promisedBallot().isAbove(floor) ? register.promisedBallot() : floor;
     }
 
-    void put(final Register slot) {
-        registers.put(slot);
+    void put(final Register register) {
+        registers.put(register);
     }
 
-    /** Takes the higher promise and the value of the higher ballot. */
+    /** Merges a register of another voter: keeps the higher promise, and the value with the higher accepted ballot. */
     void merge(final Register register) {
         final Register previous = register(register.item().id());
         final Register best = register.acceptedBallot().isAbove(previous.acceptedBallot()) ? register : previous;
@@ -169,23 +176,26 @@
         put(new Register(promised, best.acceptedBallot(), best.item()));
     }
 
-    /** What another voter's state says beside its registers. */
-    void adopt(final Map<NodeId, String> founderNames, final long otherFloor, final long otherResumptions) {
-        founders = Map.copyOf(founderNames);
+    /**
+     * Takes over another voter's founders, and raises the ballot floor and the resumption count to at least that
+     * voter's.
+     */
+    void adopt(final Map<NodeId, String> foundingIncarnations, final long otherFloor, final long otherResumptions) {
+        founders = Map.copyOf(foundingIncarnations);
         ballotFloor = Math.max(ballotFloor, otherFloor);
         resumptions = Math.max(resumptions, otherResumptions);
     }
 
-    void found(final Map<NodeId, String> founderNames) {
-        founders = Map.copyOf(founderNames);
+    void setFounders(final Map<NodeId, String> foundingIncarnations) {
+        founders = Map.copyOf(foundingIncarnations);
     }
 
-    void resume() {
+    void countResumption() {
         resumptions++;
     }
 
-    /** Above all that was promised or accepted here. */
-    long top() {
+    /** The highest round that was promised or accepted here, or the ballot floor if that is higher. */
+    long highestRound() {
         return registers().values().stream()
                 .mapToLong(register -> Math.max(
                         register.promisedBallot().round(),
@@ -193,20 +203,23 @@
                 .reduce(ballotFloor, Math::max);
     }
 
-    void raise(final long otherFloor) {
+    void raiseBallotFloor(final long otherFloor) {
         ballotFloor = Math.max(ballotFloor, otherFloor);
     }
 
-    /** From now on votes in this epoch are remembered. */
-    void activate(final long present) {
-        epoch = Math.max(epoch, present);
+    /** Marks the state as complete and as taking part in the votes of this epoch. */
+    void activate(final long currentEpoch) {
+        epoch = Math.max(epoch, currentEpoch);
         complete = true;
     }
 
-    /** Drops registers; the ballot floor keeps what was promised for them from coming back. */
-    void drop(final Collection<Register> dead) {
+    /**
+     * Drops registers. The ballot floor rises to their ballots, so that a delayed message cannot restore a dropped
+     * promise or value.
+     */
+    void drop(final Collection<Register> dropped) {
         final Map<String, byte[]> rows = new HashMap<>();
-        dead.forEach(register -> {
+        dropped.forEach(register -> {
             ballotFloor = Math.max(
                     ballotFloor,
                     Math.max(
@@ -223,14 +236,14 @@
         return Map.of(SEAL_KEY, MessageCodec.encode(new Seal(founders, ballotFloor, resumptions, sealEpoch)));
     }
 
-    private static void pack(final Collection<Register> list, final Map<String, byte[]> rows) {
-        list.forEach(
+    private static void addRegisterRows(final Collection<Register> toSave, final Map<String, byte[]> rows) {
+        toSave.forEach(
                 register -> rows.put(REGISTER_PREFIX + register.item().id().text(), MessageCodec.encode(register)));
     }
 
-    void save(final Register slot, final Runnable synced) {
+    void save(final Register register, final Runnable synced) {
         final Map<String, byte[]> rows = new HashMap<>();
-        pack(List.of(slot), rows);
+        addRegisterRows(List.of(register), rows);
         save(rows, synced, () -> {});
     }
 
@@ -238,11 +251,11 @@
         save(seal(epoch), synced, () -> {});
     }
 
-    /** All registers, the seal of {@code sealEpoch} and what comes along, in one transaction. */
+    /** Saves all registers, the seal with {@code sealEpoch} and {@code otherRows} in one transaction. */
     void saveAll(
             final long sealEpoch, final Map<String, byte[]> otherRows, final Runnable synced, final Runnable failed) {
         final Map<String, byte[]> rows = new HashMap<>(otherRows);
-        pack(registers().values(), rows);
+        addRegisterRows(registers().values(), rows);
         rows.putAll(seal(sealEpoch));
         save(rows, synced, failed);
     }
@@ -252,14 +265,16 @@
         storage.save(Map.of(FIRST_START_KEY, new byte[0]), ok -> {});
     }
 
-    /** {@code synced}: once it is synced that this machine has no lost vote of an epoch after {@code present}. */
-    void saveStandby(final long present, final Runnable synced) {
+    /**
+     * Runs {@code synced} once the disk records that this node has lost no vote of an epoch after {@code currentEpoch}.
+     */
+    void saveStandby(final long currentEpoch, final Runnable synced) {
         if (complete || standbySaved) {
             synced.run();
             return;
         }
         save(
-                Map.of(STANDBY_KEY, MessageCodec.encode(new Standby(present))),
+                Map.of(STANDBY_KEY, MessageCodec.encode(new Standby(currentEpoch))),
                 () -> {
                     standbySaved = true;
                     synced.run();
@@ -267,12 +282,13 @@
                 () -> {});
     }
 
-    /** Seals all epochs before the one of this chosen set. */
-    void saveVotingSet(final ChosenItem set, final Runnable synced, final Runnable failed) {
+    /** Saves a chosen voting set, which seals all epochs before its own. */
+    void saveVotingSet(final ChosenItem votingSet, final Runnable synced, final Runnable failed) {
         save(
-                Map.of(VOTING_SET_KEY, MessageCodec.encode(set)),
+                Map.of(VOTING_SET_KEY, MessageCodec.encode(votingSet)),
                 () -> {
-                    sealedEpoch = Math.max(sealedEpoch, set.item().version().number());
+                    sealedEpoch =
+                            Math.max(sealedEpoch, votingSet.item().version().number());
                     synced.run();
                 },
                 failed);
@@ -297,7 +313,10 @@
         return storage.isStalled();
     }
 
-    /** Checksums by bucket over the accepted values and their ballots, to find where two states differ. */
+    /**
+     * Checksums of each bucket over the accepted values and their ballots, for finding the buckets in which two states
+     * differ.
+     */
     List<Long> checksums() {
         return registers.checksums();
     }
@@ -307,15 +326,17 @@
         return registers.page(otherChecksums, from, withinBuckets);
     }
 
-    /** Checksums over the accepted ones among these registers, in so many buckets, a power of two. */
+    /**
+     * Checksums over the accepted values of these registers, one for each bucket. {@code buckets} is a power of two.
+     */
     static List<Long> checksums(final Collection<Register> registers, final int buckets) {
-        final long[] sums = new long[buckets];
-        registers.forEach(
-                register -> sums[ItemDigest.bucket(register.item().id(), buckets)] ^= RegisterTable.checksum(register));
-        return Arrays.stream(sums).boxed().toList();
+        final long[] checksums = new long[buckets];
+        registers.forEach(register ->
+                checksums[ItemDigest.bucket(register.item().id(), buckets)] ^= RegisterTable.checksum(register));
+        return Arrays.stream(checksums).boxed().toList();
     }
 
-    /** {@code synced}: once all that was accepted before is synced; not called where the disk fails. */
+    /** Runs {@code synced} once everything accepted before this call is synced. It does not run if the disk fails. */
     void whenSynced(final Runnable synced) {
         save(Map.of(), synced, () -> {});
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/AcceptorStateRecovery.java
@@ -20,20 +20,29 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Rebuilds the state of a voter that lost it. Such a voter answers no vote until it has read a majority of the others
- * of its epoch, each of which first raises its ballot floor above all it has promised: an answer given before the loss
- * can then no longer count. Where no voter has state, they found a new network, once nobody has reported any for a
- * while.
+ * Rebuilds the state of a voter that has lost it. Such a voter answers no vote until it has copied the state of so many
+ * other voters of its epoch that these form a majority.
+ *
+ * <p>Safety: before one of these voters sends its state, it raises its ballot floor above every ballot that it has
+ * promised or accepted. An answer that the rebuilt voter gave before the loss can therefore no longer count towards a
+ * quorum.
+ *
+ * <p>If no voter has state, the voters found a new network once no node has reported any state for a while.
  */
 final class AcceptorStateRecovery {
-    private static final long FOUNDING_QUIET_MS = 1200;
-    private static final long MIN_AGE_MS = 700;
-    private static final long FOUNDING_PATIENCE_MS = 2500;
-    /** Time-out of a request for a summary, without registers. */
+    /** Time since its start after which a voter may found a network, or copy the only state that is left. */
+    private static final long MIN_FOUNDING_AGE_MS = 1200;
+    /** Time since its start after which a voter may copy the state of others. */
+    private static final long MIN_COPY_AGE_MS = 700;
+    /** Time since its start after which a voter may found a network with a majority, without the other voters. */
+    private static final long MIN_MAJORITY_FOUNDING_AGE_MS = 2500;
+    /** Timeout of a request for a summary, which contains no registers. */
     private static final long SUMMARY_TIMEOUT_MILLIS = 350;
-    /** How long an operator who vouches waits for the answer. */
+    /** Time after which an operator's vouch request is answered even if the state is not rebuilt yet. */
     private static final long VOUCH_TIMEOUT_MILLIS = 10_000;
-    /** Starts of requesters that are remembered; for one that is forgotten the floor is raised once more. */
+    /**
+     * Number of requester incarnations that are remembered. For a forgotten incarnation the floor is raised once more.
+     */
     private static final int REMEMBERED_REQUESTERS = 64;
 
     private final VoterContext context;
@@ -57,8 +66,8 @@
     private StateTransfer transfer;
 
     /**
-     * {@code isVoting}: whether this voter votes in the present epoch; {@code stateRebuilt}: run once its state is
-     * rebuilt.
+     * {@code nothingReported}: whether no node has reported any items; {@code isVoting}: whether this node votes in the
+     * current epoch; {@code stateRebuilt}: runs once the state is rebuilt.
      */
     AcceptorStateRecovery(
             final VoterContext context,
@@ -81,15 +90,15 @@
         this.stateRebuilt = stateRebuilt;
     }
 
-    void recordHandover(final RecordHandover store) {
-        recordHandover = store;
+    void connectRecords(final RecordHandover records) {
+        recordHandover = records;
     }
 
     void start() {
         startedAt = loop.now();
     }
 
-    /** Called when the epoch has changed: answers of an earlier one no longer count. */
+    /** Called when the epoch has changed. Responses of an earlier epoch no longer count. */
     void onVotingSetChange() {
         round++;
         writing = false;
@@ -106,19 +115,19 @@
     void transferState(final NodeId from, final StateTransferRequest request, final Consumer<Message> callback) {
         final boolean hasState = isVoting.getAsBoolean();
         if (!hasState || !request.raiseFloor()) {
-            callback.accept(summary(hasState, hasState || mayFound() ? incarnation : ""));
+            callback.accept(summary(hasState, hasState || mayFoundNetwork() ? incarnation : ""));
             return;
         }
         if (request.onlyCopy() && isFirstPage(request)) {
-            state.resume();
+            state.countResumption();
             journal.add(Event.of(EventCode.RESUMED, "lives", state.resumptions(), "floor", state.ballotFloor()));
         }
         raiseFloorFor(from, request.incarnation());
         final RegisterTable.Page page = request.position() == null
                 ? new RegisterTable.Page(List.copyOf(state.registers().values()), null)
                 : state.page(request.checksums(), request.position(), true);
-        final StateTransferResponse answer = stateResponse(true, incarnation, page);
-        state.saveSeal(() -> callback.accept(answer));
+        final StateTransferResponse response = stateResponse(true, incarnation, page);
+        state.saveSeal(() -> callback.accept(response));
     }
 
     private static boolean isFirstPage(final StateTransferRequest request) {
@@ -126,16 +135,17 @@
     }
 
     /**
-     * Whatever the requester voted for before its restart was promised before its first request, so it lies below a
-     * floor raised then. Raising the floor for each repeated request would refuse every ballot under way, again and
-     * again.
+     * Raises the ballot floor once for each incarnation of a requester. Everything that the requester voted for before
+     * its restart was promised before the first request of the new incarnation, so it lies below a floor that is raised
+     * at that request. If each repeated request raised the floor again, every ballot in progress would be rejected each
+     * time.
      */
-    private void raiseFloorFor(final NodeId asker, final String requesterIncarnation) {
+    private void raiseFloorFor(final NodeId requester, final String requesterIncarnation) {
         if (fencedRequesters.size() >= REMEMBERED_REQUESTERS) {
             fencedRequesters.clear();
         }
-        if (fencedRequesters.add(asker + "#" + requesterIncarnation)) {
-            state.raise(1 + state.top());
+        if (fencedRequesters.add(requester + "#" + requesterIncarnation)) {
+            state.raiseBallotFloor(1 + state.highestRound());
         }
     }
 
@@ -156,7 +166,7 @@
                 page.next());
     }
 
-    /** Asks all others what they hold; called repeatedly until the state is rebuilt. */
+    /** Requests a summary from every other voter. Called repeatedly until the state is rebuilt. */
     void attempt() {
         final long requestRound = ++round;
         final Map<NodeId, StateTransferResponse> responses = new HashMap<>();
@@ -180,14 +190,14 @@
     }
 
     private void evaluate(final Map<NodeId, StateTransferResponse> responses) {
-        final Set<NodeId> holders = new HashSet<>();
+        final Set<NodeId> sources = new HashSet<>();
         responses.forEach((id, response) -> {
             if (response.hasState()) {
-                holders.add(id);
+                sources.add(id);
             }
         });
-        final boolean founding = votingConfiguration.epoch() == 0;
-        if (founding
+        final boolean isFoundingEpoch = votingConfiguration.epoch() == 0;
+        if (isFoundingEpoch
                 && responses.values().stream()
                         .anyMatch(response -> response.hasState()
                                 && (state.firstStart() && !firstStart
@@ -196,24 +206,24 @@
             responses.values().stream()
                     .filter(StateTransferResponse::hasState)
                     .findFirst()
-                    .ifPresent(response -> found(response.founders()));
-        } else if (founding
-                && holders.isEmpty()
-                && mayFound()
-                && (unanimous(responses) || isFoundingMajority(responses))) {
-            final Map<NodeId, String> all = new HashMap<>();
-            responses.forEach((id, response) -> all.put(id, response.incarnation()));
-            all.values().removeIf(String::isEmpty);
-            all.put(self, incarnation);
-            found(all);
-        } else if ((votingConfiguration.quorum().isReadQuorum(holders) || isOnlyCopy(responses, holders))
-                && loop.now() - startedAt >= MIN_AGE_MS) {
-            copyFrom(holders, !votingConfiguration.quorum().isReadQuorum(holders));
+                    .ifPresent(response -> foundNetwork(response.founders()));
+        } else if (isFoundingEpoch
+                && sources.isEmpty()
+                && mayFoundNetwork()
+                && (allOthersMayFound(responses) || isFoundingMajority(responses))) {
+            final Map<NodeId, String> founders = new HashMap<>();
+            responses.forEach((id, response) -> founders.put(id, response.incarnation()));
+            founders.values().removeIf(String::isEmpty);
+            founders.put(self, incarnation);
+            foundNetwork(founders);
+        } else if ((votingConfiguration.quorum().isReadQuorum(sources) || isOnlyCopy(responses, sources))
+                && loop.now() - startedAt >= MIN_COPY_AGE_MS) {
+            copyFrom(sources, !votingConfiguration.quorum().isReadQuorum(sources));
         }
     }
 
-    /** {@code onlyCopy}: these are no majority, and no other voter holds anything. */
-    private void copyFrom(final Set<NodeId> holders, final boolean onlyCopy) {
+    /** {@code onlyCopy}: the sources are no majority, and no other voter has any state. */
+    private void copyFrom(final Set<NodeId> sources, final boolean onlyCopy) {
         if (writing) {
             return;
         }
@@ -227,8 +237,8 @@
                 }
             });
         }
-        transfer.addSources(holders);
-        if (onlyCopy && transfer != null && transfer.copied().containsAll(holders)) {
+        transfer.addSources(sources);
+        if (onlyCopy && transfer != null && transfer.copied().containsAll(sources)) {
             rebuild();
         }
     }
@@ -238,32 +248,34 @@
     }
 
     /**
-     * Whether this is the only copy: every other voter answered, those without state hold nothing, and a store has its
-     * own.
+     * Whether the sources have the only copies left: every other voter has responded, the voters that are no sources
+     * have no state, and at least one store still has its own.
      */
-    private boolean isOnlyCopy(final Map<NodeId, StateTransferResponse> responses, final Set<NodeId> holders) {
+    private boolean isOnlyCopy(final Map<NodeId, StateTransferResponse> responses, final Set<NodeId> sources) {
         return responses.size() == votingConfiguration.voters().size() - 1
-                && votingConfiguration.quorum().stores().stream().anyMatch(holders::contains)
-                && loop.now() - startedAt >= FOUNDING_QUIET_MS
+                && votingConfiguration.quorum().stores().stream().anyMatch(sources::contains)
+                && loop.now() - startedAt >= MIN_FOUNDING_AGE_MS
                 && responses.values().stream()
                         .filter(StateTransferResponse::hasState)
-                        .allMatch(response -> response.ageMs() >= FOUNDING_QUIET_MS);
+                        .allMatch(response -> response.ageMs() >= MIN_FOUNDING_AGE_MS);
     }
 
-    /** Every other voter has answered that it is willing too. */
-    private boolean unanimous(final Map<NodeId, StateTransferResponse> responses) {
+    /** Whether every other voter has responded that it may found a network too. */
+    private boolean allOthersMayFound(final Map<NodeId, StateTransferResponse> responses) {
         return responses.size() == votingConfiguration.voters().size() - 1
                 && responses.values().stream()
                         .noneMatch(response -> response.incarnation().isEmpty());
     }
 
     /**
-     * Where starts can be distinguished, a majority in its first start that never voted proves that nothing was ever
-     * accepted: it need not wait for a voter that ended during its first start and came back without a record of it.
+     * Whether a majority of the voters may found a network without waiting for the others. If no stores are named,
+     * every voter records its first start on disk, so a majority that has not voted since its first start proves that
+     * nothing was ever accepted. The majority need not wait for a voter that ended during its first start and restarted
+     * without a record of it.
      */
     private boolean isFoundingMajority(final Map<NodeId, StateTransferResponse> responses) {
         return votingConfiguration.quorum().stores().isEmpty()
-                && loop.now() - startedAt >= FOUNDING_PATIENCE_MS
+                && loop.now() - startedAt >= MIN_MAJORITY_FOUNDING_AGE_MS
                 && 1
                                 + responses.values().stream()
                                         .filter(response -> !response.hasState()
@@ -272,26 +284,29 @@
                         >= votingConfiguration.quorum().majority();
     }
 
-    /** A network is founded only after a while in which no node has said that it holds anything. */
-    private boolean mayFound() {
+    /**
+     * Whether this voter may found a network: it has not voted since its first start, and it has waited for a while in
+     * which no node has reported any items.
+     */
+    private boolean mayFoundNetwork() {
         return (firstStart || state.firstStart())
-                && loop.now() - startedAt >= FOUNDING_QUIET_MS
+                && loop.now() - startedAt >= MIN_FOUNDING_AGE_MS
                 && nothingReported.getAsBoolean();
     }
 
-    private void found(final Map<NodeId, String> all) {
+    private void foundNetwork(final Map<NodeId, String> founders) {
         if (founding) {
             return;
         }
         founding = true;
-        state.found(all);
+        state.setFounders(founders);
         state.saveSeal(() -> {
             state.activate(0);
             journal.add(Event.of(EventCode.FOUNDED, "electors", state.founders().size()));
         });
     }
 
-    /** All that counts was copied: it is synced together with the epoch, and this voter votes. */
+    /** Saves the copied state together with the epoch. Once both are synced, this voter votes. */
     private void rebuild() {
         if (writing || state.complete()) {
             return;
@@ -313,22 +328,25 @@
                 () -> writing = false);
     }
 
-    /** An operator vouches that one voter holds all: its copy is taken without a majority. */
-    void vouch(final NodeId from, final Consumer<Boolean> then) {
+    /**
+     * Rebuilds the state from a single voter, without a majority, after an operator has vouched that this voter's state
+     * is complete.
+     */
+    void vouch(final NodeId from, final Consumer<Boolean> callback) {
         final boolean[] answered = {false};
         stopTransfer();
         transfer = newTransfer(true, copied -> {
             if (!answered[0] && copied.contains(from)) {
                 answered[0] = true;
                 rebuild();
-                then.accept(true);
+                callback.accept(true);
             }
         });
         transfer.addSources(Set.of(from));
         loop.schedule(VOUCH_TIMEOUT_MILLIS, () -> {
             if (!answered[0]) {
                 answered[0] = true;
-                then.accept(state.complete());
+                callback.accept(state.complete());
             }
         });
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/RecordHandover.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/RecordHandover.java
@@ -5,33 +5,42 @@
 import org.rowanvalve.common.message.RecordHandoverResponse;
 import org.rowanvalve.common.message.RecordPageResponse;
 
-/** What a voter's records of keyed requests do when its state is rebuilt, and at a change of the voting set. */
+/** Operations on a voter's records of keyed requests for rebuilding its state and for a change of the voting set. */
 public interface RecordHandover {
-    /** Whether records may be missing that were once stored here: such a replica is no source for others. */
+    /** Whether records that were once stored here may be missing. Such a replica is no source for other replicas. */
     boolean isIncomplete();
 
-    /** Called when the voter's state was lost and is rebuilt: gives rows to be saved in one transaction with it. */
+    /**
+     * Marks the records as incomplete, when the voter's lost state is rebuilt. Returns rows that must be saved in one
+     * transaction with that state.
+     */
     Map<String, byte[]> markIncomplete();
 
-    /** Checksums over the records of each bucket. */
+    /** The checksum over the records of each bucket. */
     List<Long> checksums();
 
     /**
-     * A page of the records in whose buckets the checksums differ, with all token floors. {@code after}: the last key
-     * before it, or null.
+     * Returns a page of the records in the buckets whose checksums differ, with all token floors. {@code afterKey}: the
+     * last key of the previous page, or null for the first page.
      */
-    RecordHandoverResponse page(List<Long> theirs, String after);
+    RecordHandoverResponse page(List<Long> otherChecksums, String afterKey);
 
-    /** Takes a page of another voter; false where its checksum is wrong and nothing was taken. */
+    /** Merges a page of another voter. Returns false, and merges nothing, if the checksum of the page is wrong. */
     boolean mergePage(RecordHandoverResponse page);
 
-    /** What has to be saved in one transaction with the voter's own rows; all that was merged is on its way to the disk. */
+    /**
+     * Returns rows that must be saved in one transaction with the voter's own rows. All merged records have been
+     * submitted to the disk before.
+     */
     Map<String, byte[]> handoverRows();
 
-    /** Called when the rows are synced: nothing is missing any more, and nobody has read here in the new epoch. */
+    /**
+     * Called when these rows are synced. From now on no records are missing, and no holder has read them in the new
+     * epoch yet.
+     */
     void onJoined();
 
-    /** For voters that keep no records. */
+    /** Used by voters that store no records. */
     RecordHandover NONE = new RecordHandover() {
         @Override
         public boolean isIncomplete() {
@@ -49,7 +58,7 @@
         }
 
         @Override
-        public RecordHandoverResponse page(final List<Long> theirs, final String after) {
+        public RecordHandoverResponse page(final List<Long> otherChecksums, final String afterKey) {
             return new RecordHandoverResponse(Map.of(), new RecordPageResponse(true, List.of(), 0, null));
         }
 
--- a/control/src/main/java/org/rowanvalve/control/consensus/RegisterTable.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/RegisterTable.java
@@ -14,11 +14,15 @@
 import org.rowanvalve.control.store.ItemDigest;
 
 /**
- * The registers of one voter, by bucket. Each bucket has a checksum over what was accepted in it, kept up to date with each
- * change, so that two voters find where they differ, and a page of the differences costs no more than the page.
+ * The registers of one voter, divided into buckets. Each bucket has a checksum over its accepted values, which is
+ * updated at each change. Two voters compare these checksums to find the buckets in which they differ, so that reading
+ * a page of differences costs no more than the registers on this page.
  */
 final class RegisterTable {
-    /** Small enough not to delay other messages of the same connection; one item more fits into a message with it. */
+    /**
+     * Size limit of a page. It is small enough not to delay other messages on the same connection, and a page with one
+     * item more still fits into a message.
+     */
     static final int PAGE_BYTES = 128 << 10;
 
     private final Map<ItemId, Register> registers = new TreeMap<>();
@@ -27,7 +31,7 @@
     private final ItemDigest digest = new ItemDigest();
     private final List<Consumer<ItemId>> listeners = new ArrayList<>();
 
-    /** {@code next}: where the next page begins; null after the last. */
+    /** {@code next}: the position at which the next page begins, or null after the last page. */
     record Page(List<Register> registers, RegisterPosition next) {}
 
     RegisterTable() {
@@ -36,7 +40,7 @@
         }
     }
 
-    Map<ItemId, Register> all() {
+    Map<ItemId, Register> registers() {
         return Collections.unmodifiableMap(registers);
     }
 
@@ -44,7 +48,7 @@
         return digest;
     }
 
-    /** {@code listener} gets the name of each register right after it has changed or was removed. */
+    /** Adds a listener that receives the ID of each register right after the register was changed or removed. */
     void addListener(final Consumer<ItemId> listener) {
         listeners.add(listener);
     }
@@ -75,14 +79,14 @@
     }
 
     List<Long> checksums() {
-        final List<Long> list = new ArrayList<>(ItemDigest.BUCKETS);
+        final List<Long> copy = new ArrayList<>(ItemDigest.BUCKETS);
         for (final long checksum : checksums) {
-            list.add(checksum);
+            copy.add(checksum);
         }
-        return list;
+        return copy;
     }
 
-    /** What counts of a register in checksums: its accepted value and the ballot; zero where there is none. */
+    /** The checksum of a register, over its accepted version and ballot, or zero if no value was accepted. */
     static long checksum(final Register register) {
         return register == null || register.acceptedBallot().round() == 0
                 ? 0
@@ -93,8 +97,8 @@
     }
 
     /**
-     * Accepted registers of the buckets whose checksums differ, from a position on; {@code withinBuckets}: whether a page
-     * may end within a bucket.
+     * Returns the accepted registers of the buckets whose checksums differ, from a position on. {@code withinBuckets}:
+     * whether a page may end in the middle of a bucket.
      */
     Page page(final List<Long> otherChecksums, final RegisterPosition from, final boolean withinBuckets) {
         final List<Register> page = new ArrayList<>();
@@ -123,7 +127,9 @@
     }
 
     private Iterable<Register> registersAfter(final int bucket, final ItemId after) {
-        final TreeMap<ItemId, Register> all = byBucket.get(bucket);
-        return after == null ? all.values() : all.tailMap(after, false).values();
+        final TreeMap<ItemId, Register> bucketRegisters = byBucket.get(bucket);
+        return after == null
+                ? bucketRegisters.values()
+                : bucketRegisters.tailMap(after, false).values();
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/consensus/StateTransfer.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/StateTransfer.java
@@ -17,17 +17,18 @@
 import org.rowanvalve.common.runtime.EventLoop;
 
 /**
- * Copies what other voters have accepted into the state of a voter that lost its own: page by page, from one voter after
- * the other, each only where its checksums differ from what was copied before. So the bytes grow with the registers and
- * hardly with the voters, and a voter that fails in the midst is left for another and taken up again where it stopped.
+ * Copies the accepted values of other voters into the state of a voter that has lost its own. It reads one source voter
+ * after the other, page by page, and from each source only the buckets whose checksums differ from the state copied so
+ * far. The transferred bytes therefore grow with the number of registers and hardly with the number of voters. If a
+ * source fails, the copy continues with another one and later resumes the failed source at the position it had reached.
  *
- * <p>Safety: each page is answered after its voter has raised its ballot floor for this start of the requester. A register
- * that is read later than that holds at least what was accepted there before. A voter that has started anew is read from
- * its first page.
+ * <p>Safety: a source sends a page only after it has raised its ballot floor for this incarnation of the requester. A
+ * register that is read after that contains the value that the source had accepted before, or a later one. A source
+ * that has restarted is read again from its first page.
  */
 final class StateTransfer {
-    private static final long FIRST_TIMEOUT_MILLIS = 500;
-    private static final long LONGEST_TIMEOUT_MILLIS = 8000;
+    private static final long INITIAL_TIMEOUT_MILLIS = 500;
+    private static final long MAX_TIMEOUT_MILLIS = 8000;
     private static final long RETRY_MS = 100;
     private static final long REPORT_INTERVAL_MS = 2000;
 
@@ -41,18 +42,18 @@
     private final Set<NodeId> copied = new HashSet<>();
     private Source active;
     private boolean stopped;
-    private long timeoutMs = FIRST_TIMEOUT_MILLIS;
+    private long timeoutMs = INITIAL_TIMEOUT_MILLIS;
     private long reportedAt;
     private int pages;
     private String lastFailure = "";
 
-    /** Called in the event loop after each voter that was copied whole. */
+    /** Called in the event loop after each voter that was copied completely. */
     @FunctionalInterface
     interface Listener {
         void onCopied(Set<NodeId> copied);
     }
 
-    /** How far one voter has been copied. */
+    /** The progress of the copy from one voter. */
     private static final class Source {
         private final NodeId id;
         private String incarnation;
@@ -64,7 +65,7 @@
             this.id = id;
         }
 
-        void begin(final List<Long> ownChecksums) {
+        void startAtFirstPage(final List<Long> ownChecksums) {
             checksums = ownChecksums;
             position = RegisterPosition.START;
         }
@@ -89,7 +90,7 @@
         return onlyCopy;
     }
 
-    /** The voters that were copied whole. */
+    /** The voters that were copied completely. */
     Set<NodeId> copied() {
         return copied;
     }
@@ -98,7 +99,7 @@
         stopped = true;
     }
 
-    /** Copies from these voters too, and goes on where nothing is under way. */
+    /** Adds these voters as sources, and continues the copy if no request is in progress. */
     void addSources(final Set<NodeId> voters) {
         voters.forEach(id -> sources.computeIfAbsent(id, Source::new));
         continueCopy();
@@ -117,7 +118,7 @@
     private void requestPage(final Source source) {
         active = source;
         if (source.position == null) {
-            source.begin(state.checksums());
+            source.startAtFirstPage(state.checksums());
         }
         final long sentAt = loop.now();
         context.transport()
@@ -140,7 +141,7 @@
         if (response == null) {
             onFailure(source, reply);
         } else {
-            timeoutMs = Math.max(FIRST_TIMEOUT_MILLIS, Math.min(timeoutMs, 2 * (loop.now() - sentAt)));
+            timeoutMs = Math.max(INITIAL_TIMEOUT_MILLIS, Math.min(timeoutMs, 2 * (loop.now() - sentAt)));
             onPage(source, response);
         }
         report();
@@ -149,7 +150,7 @@
     private void onFailure(final Source source, final Reply reply) {
         source.failures++;
         lastFailure = source.id + ": " + reply;
-        timeoutMs = Math.min(LONGEST_TIMEOUT_MILLIS, 2 * timeoutMs);
+        timeoutMs = Math.min(MAX_TIMEOUT_MILLIS, 2 * timeoutMs);
         loop.schedule(RETRY_MS, () -> {
             active = null;
             continueCopy();
@@ -164,7 +165,7 @@
         final boolean restarted = source.incarnation != null && !source.incarnation.equals(response.incarnation());
         source.incarnation = response.incarnation();
         if (restarted) {
-            source.begin(state.checksums());
+            source.startAtFirstPage(state.checksums());
         } else if (response.next() != null) {
             source.position = response.next();
         } else {
@@ -174,7 +175,7 @@
         continueCopy();
     }
 
-    /** Says how far the copy is, and what was wrong last. */
+    /** Adds the progress of the copy and the last failure to the journal, at most once in each interval. */
     private void report() {
         if (loop.now() - reportedAt >= REPORT_INTERVAL_MS) {
             reportedAt = loop.now();
--- a/control/src/test/java/org/rowanvalve/control/consensus/AcceptedValueComparisonTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/AcceptedValueComparisonTest.java
@@ -34,7 +34,7 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.control.voting.VotingSet;
 
-/** What a voter may conclude from other voters' checksums, and what not. */
+/** Which accepted values a voter may learn as chosen from the checksums of the other voters. */
 class AcceptedValueComparisonTest {
     private static final NodeId SELF = NodeId.of("a");
     private static final Ballot OLD = new Ballot(3, "w#1");
@@ -43,7 +43,7 @@
 
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
     private final Disk disk = new Disk();
-    private final Map<NodeId, List<Register>> others = new HashMap<>();
+    private final Map<NodeId, List<Register>> registersOfOthers = new HashMap<>();
     private final Set<NodeId> silent = new HashSet<>();
     private final List<Message> sent = new ArrayList<>();
     private final Map<ItemId, ChosenItem> learned = new HashMap<>();
@@ -52,9 +52,9 @@
     private AcceptorState state;
     private AcceptedValueComparison comparison;
 
-    /** A disk that syncs when it is told to, or at once. */
+    /** A disk that syncs at once or, while {@code held}, only when {@link #sync} is called. */
     private static final class Disk implements StableStorage {
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final List<Runnable> pendingSyncs = new ArrayList<>();
         private boolean held;
 
         @Override
@@ -64,20 +64,20 @@
 
         @Override
         public void save(final Map<String, byte[]> rows, final Consumer<Boolean> done) {
-            waiting.add(() -> done.accept(true));
+            pendingSyncs.add(() -> done.accept(true));
             if (!held) {
                 sync();
             }
         }
 
         void sync() {
-            final List<Runnable> all = List.copyOf(waiting);
-            waiting.clear();
-            all.forEach(Runnable::run);
+            final List<Runnable> ready = List.copyOf(pendingSyncs);
+            pendingSyncs.clear();
+            ready.forEach(Runnable::run);
         }
     }
 
-    private void begin(final int voters, final Set<NodeId> stores) {
+    private void createVoter(final int voters, final Set<NodeId> stores) {
         final List<NodeId> ids = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             ids.add(NodeId.of(String.valueOf((char) ('a' + i))));
@@ -87,17 +87,18 @@
         comparison = new AcceptedValueComparison(
                 new VoterContext(SELF, "1", votingConfiguration, loop, this::request, new EventJournal(loop, 10)),
                 state);
-        ids.stream().filter(id -> !id.equals(SELF)).forEach(id -> others.put(id, new ArrayList<>()));
+        ids.stream().filter(id -> !id.equals(SELF)).forEach(id -> registersOfOthers.put(id, new ArrayList<>()));
     }
 
     private void request(
-            final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> back) {
+            final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
         sent.add(message);
         final int buckets = ((AcceptedChecksumsRequest) message).buckets();
         final Reply reply = silent.contains(recipient)
                 ? Reply.failed(Reply.Failure.NO_RESPONSE)
-                : Reply.of(new AcceptedChecksumsResponse(AcceptorState.checksums(others.get(recipient), buckets)));
-        loop.schedule(silent.contains(recipient) ? timeoutMs : 2, () -> back.accept(reply));
+                : Reply.of(new AcceptedChecksumsResponse(
+                        AcceptorState.checksums(registersOfOthers.get(recipient), buckets)));
+        loop.schedule(silent.contains(recipient) ? timeoutMs : 2, () -> callback.accept(reply));
     }
 
     private static ItemId id(final int number) {
@@ -115,11 +116,11 @@
     }
 
     @Test
-    void whatAMajorityAcceptedUnderOneBallotIsChosenAndCostsOneRequestAVoter() {
-        begin(3, Set.of());
+    void valuesAcceptedByAMajorityUnderOneBallotAreLearnedWithOneRequestPerVoter() {
+        createVoter(3, Set.of());
         for (int i = 0; i < VALUES; i++) {
             state.put(register(i, OLD, 5));
-            others.get(NodeId.of("b")).add(register(i, OLD, 5));
+            registersOfOthers.get(NodeId.of("b")).add(register(i, OLD, 5));
         }
         run();
         assertEquals(VALUES, learned.size());
@@ -130,7 +131,7 @@
 
     @Test
     void aValueThatOnlyThisVoterAcceptedIsNotChosen() {
-        begin(3, Set.of());
+        createVoter(3, Set.of());
         state.put(register(1, OLD, 5));
         run();
         assertEquals(Map.of(), learned);
@@ -138,32 +139,32 @@
     }
 
     @Test
-    void anotherBallotOrAnotherVersionIsAnotherValue() {
-        begin(3, Set.of());
+    void valuesWithDifferentBallotsOrVersionsDoNotMatch() {
+        createVoter(3, Set.of());
         state.put(register(1, OLD, 5));
         state.put(register(2, OLD, 5));
-        others.get(NodeId.of("b")).add(register(1, NEW, 5));
-        others.get(NodeId.of("b")).add(register(2, OLD, 6));
-        others.get(NodeId.of("c")).add(register(1, NEW, 5));
+        registersOfOthers.get(NodeId.of("b")).add(register(1, NEW, 5));
+        registersOfOthers.get(NodeId.of("b")).add(register(2, OLD, 6));
+        registersOfOthers.get(NodeId.of("c")).add(register(1, NEW, 5));
         run();
         assertEquals(Map.of(), learned);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3})
-    void ofFiveVotersTwoOthersHaveToAgree(final int agreeing) {
-        begin(5, Set.of());
+    void withFiveVotersTwoOthersMustMatch(final int matchingVoters) {
+        createVoter(5, Set.of());
         state.put(register(1, OLD, 5));
-        for (int i = 0; i < agreeing; i++) {
-            others.get(NodeId.of(String.valueOf((char) ('b' + i)))).add(register(1, OLD, 5));
+        for (int i = 0; i < matchingVoters; i++) {
+            registersOfOthers.get(NodeId.of(String.valueOf((char) ('b' + i)))).add(register(1, OLD, 5));
         }
         run();
-        assertEquals(agreeing >= 2, learned.containsKey(id(1)));
+        assertEquals(matchingVoters >= 2, learned.containsKey(id(1)));
     }
 
     @Test
-    void aVoterWithoutOthersHasAMajorityInItself() {
-        begin(1, Set.of());
+    void aSingleVoterIsItsOwnMajority() {
+        createVoter(1, Set.of());
         state.put(register(1, OLD, 5));
         run();
         assertEquals(Set.of(id(1)), learned.keySet());
@@ -171,24 +172,24 @@
     }
 
     @Test
-    void whereStoresAreNamedOneOfThemHasToAgree() {
-        begin(3, Set.of(NodeId.of("b")));
+    void ifStoresAreNamedOneOfThemMustMatch() {
+        createVoter(3, Set.of(NodeId.of("b")));
         state.put(register(1, OLD, 5));
-        others.get(NodeId.of("c")).add(register(1, OLD, 5));
+        registersOfOthers.get(NodeId.of("c")).add(register(1, OLD, 5));
         run();
         assertEquals(Map.of(), learned);
-        others.get(NodeId.of("b")).add(register(1, OLD, 5));
+        registersOfOthers.get(NodeId.of("b")).add(register(1, OLD, 5));
         run();
         assertEquals(Set.of(id(1)), learned.keySet());
     }
 
-    /** A value that a loss of power could still take back counts for nobody. */
+    /** A value that is not synced may be lost in a power failure, so it must not count towards a quorum. */
     @Test
-    void nothingIsAskedBeforeTheOwnValuesAreSynced() {
-        begin(3, Set.of());
+    void noRequestIsSentBeforeTheOwnValuesAreSynced() {
+        createVoter(3, Set.of());
         disk.held = true;
         state.put(register(1, OLD, 5));
-        others.get(NodeId.of("b")).add(register(1, OLD, 5));
+        registersOfOthers.get(NodeId.of("b")).add(register(1, OLD, 5));
         comparison.run(chosen -> learned.put(chosen.item().id(), chosen), examined::addAll);
         loop.run(400);
         assertEquals(List.of(), sent);
@@ -199,10 +200,10 @@
 
     @Test
     void aValueAcceptedAfterTheRoundBeganIsNotLearned() {
-        begin(3, Set.of());
+        createVoter(3, Set.of());
         disk.held = true;
         state.put(register(1, OLD, 5));
-        others.get(NodeId.of("b")).add(register(1, NEW, 6));
+        registersOfOthers.get(NodeId.of("b")).add(register(1, NEW, 6));
         comparison.run(chosen -> learned.put(chosen.item().id(), chosen), examined::addAll);
         state.put(register(1, NEW, 6));
         disk.sync();
@@ -212,10 +213,10 @@
 
     @Test
     void answersOfAnotherEpochDoNotCount() {
-        begin(3, Set.of());
+        createVoter(3, Set.of());
         state.put(register(1, OLD, 5));
-        others.get(NodeId.of("b")).add(register(1, OLD, 5));
-        others.get(NodeId.of("c")).add(register(1, OLD, 5));
+        registersOfOthers.get(NodeId.of("b")).add(register(1, OLD, 5));
+        registersOfOthers.get(NodeId.of("c")).add(register(1, OLD, 5));
         comparison.run(chosen -> learned.put(chosen.item().id(), chosen), examined::addAll);
         final Item next = new Item(
                 ItemId.VOTERS,
@@ -231,12 +232,12 @@
         assertEquals(Set.of(), examined);
     }
 
-    /** One that is down leaves a majority; two that are leave none, and rounds become rare. */
+    /** One silent voter of three leaves a majority. Two leave none, and then the delay between rounds grows. */
     @Test
-    void withoutAMajorityNothingIsExaminedAndRoundsBecomeRare() {
-        begin(3, Set.of());
+    void withoutAMajorityNothingIsExaminedAndRoundsBackOff() {
+        createVoter(3, Set.of());
         state.put(register(1, OLD, 5));
-        silent.addAll(others.keySet());
+        silent.addAll(registersOfOthers.keySet());
         for (int i = 0; i < 200; i++) {
             comparison.run(chosen -> learned.put(chosen.item().id(), chosen), examined::addAll);
             loop.run(50);
--- a/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/AcceptorStateRecoveryTest.java
@@ -37,7 +37,7 @@
 import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** A lost memory is rebuilt however long the answer with all registers takes, and the others go on voting meanwhile. */
+/** A lost voter state is rebuilt however long the transfer of its registers takes, and the others vote meanwhile. */
 class AcceptorStateRecoveryTest {
     private static final NodeId LOST = NodeId.of("a");
     private static final List<NodeId> ALL = List.of(LOST, NodeId.of("b"), NodeId.of("c"));
@@ -46,41 +46,45 @@
     private final EventJournal journal = new EventJournal(loop, 100);
     private final Map<NodeId, Acceptor> voters = new HashMap<>();
     private long transferMs = 10;
-    /** Bytes of all answers that bear registers. */
+    /** Encoded bytes of all responses. */
     private long transferredBytes;
 
-    private final Set<NodeId> cut = new HashSet<>();
+    private final Set<NodeId> disconnected = new HashSet<>();
 
-    /** Small answers take a moment, those with registers as long as their bytes need. */
-    private final class Wires implements Transport {
+    /** Responses with registers take {@code transferMs}, all other messages take 1 ms. */
+    private final class SimulatedTransport implements Transport {
         private final NodeId self;
 
-        Wires(final NodeId self) {
+        SimulatedTransport(final NodeId self) {
             this.self = self;
         }
 
         @Override
-        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
-            final boolean[] over = {false};
-            loop.schedule(wait, () -> end(over, then, Reply.failed(Reply.Failure.NO_RESPONSE)));
-            if (cut.contains(recipient)) {
+        public void request(
+                final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
+            final boolean[] completed = {false};
+            loop.schedule(timeoutMs, () -> complete(completed, callback, Reply.failed(Reply.Failure.NO_RESPONSE)));
+            if (disconnected.contains(recipient)) {
                 return;
             }
             loop.schedule(
                     1,
                     () -> answer(
                             recipient,
-                            msg,
-                            m -> loop.schedule(
-                                    m instanceof StateTransferResponse all
-                                                    && !all.registers().isEmpty()
+                            message,
+                            response -> loop.schedule(
+                                    response instanceof StateTransferResponse transfer
+                                                    && !transfer.registers().isEmpty()
                                             ? transferMs
                                             : 1,
-                                    () -> end(over, then, Reply.of(carried(m))))));
+                                    () -> complete(completed, callback, Reply.of(limitToFrame(response))))));
         }
 
-        /** An answer that is larger than a message may be is replaced, as between processes. */
-        private Message carried(final Message message) {
+        /**
+         * Replaces a response that exceeds the size limit of a frame by a rejection, as the transport between processes
+         * does.
+         */
+        private Message limitToFrame(final Message message) {
             final int bytes = MessageCodec.encode(
                             new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 1, 1, self, message))
                     .length;
@@ -88,21 +92,21 @@
             return bytes > MessageCodec.MAX_FRAME_BYTES ? new RejectedResponse("larger than a frame") : message;
         }
 
-        private void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
-            if (msg instanceof StateTransferRequest ask && voters.containsKey(recipient)) {
-                voters.get(recipient).transferState(self, ask, back);
+        private void answer(final NodeId recipient, final Message message, final Consumer<Message> callback) {
+            if (message instanceof StateTransferRequest request && voters.containsKey(recipient)) {
+                voters.get(recipient).transferState(self, request, callback);
             }
         }
     }
 
-    private static void end(final boolean[] over, final Consumer<Reply> then, final Reply reply) {
-        if (!over[0]) {
-            over[0] = true;
-            then.accept(reply);
+    private static void complete(final boolean[] completed, final Consumer<Reply> callback, final Reply reply) {
+        if (!completed[0]) {
+            completed[0] = true;
+            callback.accept(reply);
         }
     }
 
-    private final class Memory implements StableStorage {
+    private final class InMemoryStorage implements StableStorage {
         private final Map<String, byte[]> rows = new HashMap<>();
 
         @Override
@@ -117,23 +121,23 @@
         }
     }
 
-    private Acceptor start(final NodeId id, final boolean first) throws StorageException {
+    private Acceptor start(final NodeId id, final boolean firstStart) throws StorageException {
         final Acceptor acceptor = new Acceptor(
                 id,
                 VotingConfiguration.of(new Quorum(ALL, Set.of())),
                 loop,
-                new Wires(id),
-                new MonitoredStorage(new Memory(), loop),
+                new SimulatedTransport(id),
+                new MonitoredStorage(new InMemoryStorage(), loop),
                 journal,
-                id + (first ? "1" : "2"),
-                first,
+                id + (firstStart ? "1" : "2"),
+                firstStart,
                 () -> true);
         voters.put(id, acceptor);
         acceptor.start();
         return acceptor;
     }
 
-    private void found() throws StorageException {
+    private void foundNetwork() throws StorageException {
         for (final NodeId id : ALL) {
             start(id, true);
         }
@@ -142,47 +146,51 @@
     }
 
     private Optional<Message> accept(final NodeId voter, final long round) {
-        final List<Message> got = new ArrayList<>();
+        final List<Message> responses = new ArrayList<>();
         final Ballot ballot = new Ballot(round, "w");
         final Item item = new Item(ITEM, new Version(round), "{}", false, "t" + round);
-        voters.get(voter).accept(new AcceptRequest(0, ballot, item, null), got::add);
+        voters.get(voter).accept(new AcceptRequest(0, ballot, item, null), responses::add);
         loop.run(10);
-        return got.stream().findFirst();
+        return responses.stream().findFirst();
     }
 
     @Test
-    void anAnswerThatTakesSecondsIsWaitedFor() throws StorageException {
-        found();
+    void aResponseThatTakesSecondsIsAwaited() throws StorageException {
+        foundNetwork();
         transferMs = 2500;
         accept(ALL.get(1), 5);
         accept(ALL.get(2), 5);
-        final Acceptor back = start(LOST, false);
+        final Acceptor restarted = start(LOST, false);
         loop.run(12_000);
-        assertTrue(back.hasState());
-        assertEquals(new Version(5), back.registers().get(ITEM).item().version());
+        assertTrue(restarted.hasState());
+        assertEquals(new Version(5), restarted.registers().get(ITEM).item().version());
     }
 
     @Test
-    void repeatedReadingsOfOneStartBarNothingThatBeganAfterTheFirst() throws StorageException {
-        found();
+    void repeatedRequestsOfOneIncarnationDoNotRaiseTheFloorAgain() throws StorageException {
+        foundNetwork();
         accept(ALL.get(1), 5);
         accept(ALL.get(2), 5);
         transferMs = 60_000;
-        final Acceptor back = start(LOST, false);
+        final Acceptor restarted = start(LOST, false);
         loop.run(3000);
-        final AcceptResponse above = (AcceptResponse) accept(ALL.get(1), 100).orElseThrow();
-        assertTrue(above.accepted());
+        final AcceptResponse higher = (AcceptResponse) accept(ALL.get(1), 100).orElseThrow();
+        assertTrue(higher.accepted());
         loop.run(6000);
-        final AcceptResponse next = (AcceptResponse) accept(ALL.get(1), 100).orElseThrow();
-        assertTrue(next.accepted(), "the floor is not raised by a repeated reading");
-        assertFalse(back.hasState());
+        final AcceptResponse afterRepeatedRequests =
+                (AcceptResponse) accept(ALL.get(1), 100).orElseThrow();
+        assertTrue(afterRepeatedRequests.accepted(), "a repeated request raised the floor again");
+        assertFalse(restarted.hasState());
         assertFalse(
                 ((AcceptResponse) accept(ALL.get(1), 4).orElseThrow()).accepted(),
-                "what came before the loss is barred");
+                "a ballot from before the loss was accepted");
     }
 
-    /** The two voters that stay accept so many items with bodies as long as those of the users' platform. */
-    private long fill(final int items) {
+    /**
+     * Lets the two voters that keep their state accept this many items, with bodies as long as those of the users'
+     * platform. Returns the length of all bodies.
+     */
+    private long acceptItems(final int items) {
         final String body = "b".repeat(430);
         for (int i = 0; i < items; i++) {
             final Item item = new Item(new ItemId(ItemKind.ROUTE, "r" + i), new Version(1), body, false, "t" + i);
@@ -194,50 +202,55 @@
         return 430L * items;
     }
 
-    /** Guards against a wiped voter that never reads a state of more than one message (review, case 3). */
+    /**
+     * Guards against a wiped voter that never finishes reading a state of more than one message, and against a full
+     * transfer from the second voter after the one from the first.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1000, 6000, 9600, 12_000, 40_000})
-    void aStateLargerThanAMessageIsReadAndTheSecondVoterIsNotReadAgain(final int items) throws StorageException {
-        found();
-        final long bytes = fill(items);
+    void aStateLargerThanAMessageIsTransferredOnlyOnce(final int items) throws StorageException {
+        foundNetwork();
+        final long bytes = acceptItems(items);
         transferredBytes = 0;
-        final Acceptor back = start(LOST, false);
+        final Acceptor restarted = start(LOST, false);
         loop.run(2000 + 12L * items / 100);
-        assertTrue(back.hasState(), items + " items");
-        assertEquals(items, back.registers().size());
+        assertTrue(restarted.hasState(), items + " items");
+        assertEquals(items, restarted.registers().size());
         assertTrue(transferredBytes < 100_000 + 1.5 * bytes, items + " items: " + transferredBytes + " bytes");
     }
 
-    /** Guards against a copy that begins anew where its source is cut off in the midst. */
+    /** Guards against a copy that starts over when its source is disconnected in the middle of the transfer. */
     @Test
-    void aCopyGoesOnWhereItStopped() throws StorageException {
-        found();
-        final long bytes = fill(20_000);
+    void anInterruptedCopyResumesAtItsPosition() throws StorageException {
+        foundNetwork();
+        final long bytes = acceptItems(20_000);
         transferredBytes = 0;
-        final Acceptor back = start(LOST, false);
+        final Acceptor restarted = start(LOST, false);
         for (int i = 0; i < 8; i++) {
             final NodeId source = ALL.get(1 + i % 2);
             loop.run(300);
-            cut.add(source);
+            disconnected.add(source);
             loop.run(700);
-            cut.remove(source);
+            disconnected.remove(source);
         }
         loop.run(10_000);
-        assertTrue(back.hasState());
-        assertEquals(20_000, back.registers().size());
+        assertTrue(restarted.hasState());
+        assertEquals(20_000, restarted.registers().size());
         assertTrue(transferredBytes < 200_000 + 2.5 * bytes, transferredBytes + " bytes of " + bytes);
     }
 
-    /** Guards against a voter of an earlier release that asks for all registers at once, or gives them so. */
+    /**
+     * Guards against incompatibility with voters of an earlier release, which request and send all registers at once.
+     */
     @Test
     void aRequestWithoutAPositionGetsAllRegisters() throws StorageException {
-        found();
-        fill(100);
+        foundNetwork();
+        acceptItems(100);
         final List<Message> answers = new ArrayList<>();
         voters.get(ALL.get(1)).transferState(LOST, new StateTransferRequest(0, "old", true, false), answers::add);
         loop.run(10);
-        final StateTransferResponse all = (StateTransferResponse) answers.get(0);
-        assertEquals(100, all.registers().size());
-        assertEquals(null, all.next());
+        final StateTransferResponse response = (StateTransferResponse) answers.get(0);
+        assertEquals(100, response.registers().size());
+        assertEquals(null, response.next());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/consensus/ModelMachine.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/ModelMachine.java
@@ -30,81 +30,81 @@
 import org.rowanvalve.control.voting.StoreHealth;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** One machine of the model: its disk outlives its process. */
+/** One node of the model. Its disk survives a crash of its process. */
 final class ModelMachine implements EventLoop, Transport, StableStorage {
-    private static final long SYNC = 30;
-    private static final long RETURN = 60;
+    private static final long SYNC_MS = 30;
+    private static final long RESTART_DELAY_MS = 60;
     private final VotingChangeModel model;
     private final NodeId self;
-    private final boolean votes;
+    private final boolean isVoter;
     private final Map<String, byte[]> rows = new HashMap<>();
     private VotingConfiguration votingConfiguration;
     private ItemStore items;
     private Proposer proposer;
     private Optional<Acceptor> voter = Optional.empty();
     private boolean alive;
-    private int life;
+    private int incarnation;
 
-    ModelMachine(final VotingChangeModel model, final String name, final boolean votes) {
+    ModelMachine(final VotingChangeModel model, final String name, final boolean isVoter) {
         this.model = model;
         this.self = VotingChangeModel.id(name);
-        this.votes = votes;
+        this.isVoter = isVoter;
     }
 
-    void start(final boolean first) {
+    void start(final boolean firstStart) {
         alive = true;
-        life++;
+        incarnation++;
         final EventJournal journal = new EventJournal(this, 1);
         items = new ItemStore(this, journal);
         final Quorum founding = new Quorum(
-                model.scene().before().stream().map(VotingChangeModel::id).toList(), Set.of());
+                model.scenario().before().stream().map(VotingChangeModel::id).toList(), Set.of());
         votingConfiguration = new VotingConfiguration(
-                founding, VotingChangeModel.addresses(model.scene().before()));
+                founding, VotingChangeModel.addresses(model.scenario().before()));
         votingConfiguration.connectPeers(
                 this::learn, (recipient, set) -> send(List.of(recipient), new LearnNotification(List.of(set))));
         votingConfiguration.followStore(items);
         final StoreHealth health = new StoreHealth(founding, this, journal);
         proposer = new Proposer(
                 self,
-                "b" + life,
+                "b" + incarnation,
                 votingConfiguration,
                 this,
                 this,
-                new Random(self.hashCode() + life),
+                new Random(self.hashCode() + incarnation),
                 journal,
                 items,
-                model::all,
+                model::nodeIds,
                 health);
-        if (votes) {
-            begin(first, journal);
+        if (isVoter) {
+            startVoter(firstStart, journal);
         }
     }
 
-    private void begin(final boolean first, final EventJournal journal) {
-        final Acceptor v = new Acceptor(
+    private void startVoter(final boolean firstStart, final EventJournal journal) {
+        final Acceptor acceptor = new Acceptor(
                 self,
                 votingConfiguration,
                 this,
                 this,
                 new MonitoredStorage(this, this),
                 journal,
-                "b" + life,
-                first,
+                "b" + incarnation,
+                firstStart,
                 () -> items.all().isEmpty());
-        voter = Optional.of(v);
-        v.onStateRebuilt(() -> items.all().forEach(v::learn));
-        v.prefillItems(items::all);
+        voter = Optional.of(acceptor);
+        acceptor.onStateRebuilt(() -> items.all().forEach(acceptor::learn));
+        acceptor.prefillItems(items::all);
         try {
-            v.start();
+            acceptor.start();
         } catch (final StorageException e) {
             throw new IllegalStateException(e);
         }
         new UnfinishedWriteRecovery(
-                        v,
+                        acceptor,
                         items,
                         proposer,
                         this,
-                        new Random(self.hashCode() + life),
+                        new Random(self.hashCode() + incarnation),
                         () -> votingConfiguration.voters().indexOf(self),
                         new EventJournal(this, 1),
                         0)
@@ -113,25 +113,25 @@
 
     void crash(final boolean wiped) {
         alive = false;
-        life++;
+        incarnation++;
         voter = Optional.empty();
         if (wiped) {
             rows.clear();
         }
-        model.at(RETURN, () -> {
+        model.scheduleAfter(RESTART_DELAY_MS, () -> {
             if (!alive) {
                 start(false);
             }
         });
     }
 
-    /** Whether this machine answers votes of the epoch. */
+    /** Whether this node answers votes of this epoch. */
     boolean votesIn(final long epoch) {
         return voter.isPresent() && voter.get().isVoting() && votingConfiguration.epoch() == epoch;
     }
 
     private void learn(final ChosenItem chosen) {
-        voter.ifPresent(v -> v.learn(chosen));
+        voter.ifPresent(acceptor -> acceptor.learn(chosen));
         items.merge(chosen);
     }
 
@@ -141,11 +141,11 @@
     }
 
     @Override
-    public void schedule(final long ms, final Runnable job) {
-        final int mine = life;
-        model.at(ms, () -> {
-            if (alive && life == mine) {
-                job.run();
+    public void schedule(final long delayMs, final Runnable task) {
+        final int scheduledIn = incarnation;
+        model.scheduleAfter(delayMs, () -> {
+            if (alive && incarnation == scheduledIn) {
+                task.run();
             }
         });
     }
@@ -156,13 +156,13 @@
     }
 
     @Override
-    public void save(final Map<String, byte[]> some, final Consumer<Boolean> done) {
-        schedule(SYNC, () -> {
-            some.forEach((k, v) -> {
-                if (v == null) {
-                    rows.remove(k);
+    public void save(final Map<String, byte[]> changedRows, final Consumer<Boolean> done) {
+        schedule(SYNC_MS, () -> {
+            changedRows.forEach((key, row) -> {
+                if (row == null) {
+                    rows.remove(key);
                 } else {
-                    rows.put(k, v);
+                    rows.put(key, row);
                 }
             });
             done.accept(true);
@@ -170,48 +170,49 @@
     }
 
     @Override
-    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
-        final boolean[] over = new boolean[1];
-        final Consumer<Reply> once = reply -> {
-            if (!over[0]) {
-                over[0] = true;
-                then.accept(reply);
+    public void request(
+            final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
+        final boolean[] completed = new boolean[1];
+        final Consumer<Reply> completeOnce = reply -> {
+            if (!completed[0]) {
+                completed[0] = true;
+                callback.accept(reply);
             }
         };
-        schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
-        final int mine = life;
+        schedule(timeoutMs, () -> completeOnce.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
+        final int requestedIn = incarnation;
         final ModelMachine peer = model.machine(recipient);
-        model.carry(
+        model.deliver(
                 this,
                 peer,
-                () -> peer.take(
+                () -> peer.handle(
                         self,
-                        msg,
-                        answer -> model.carry(peer, this, () -> {
-                            if (life == mine) {
-                                once.accept(Reply.of(answer));
+                        message,
+                        answer -> model.deliver(peer, this, () -> {
+                            if (incarnation == requestedIn) {
+                                completeOnce.accept(Reply.of(answer));
                             }
                         })));
     }
 
-    private void take(final NodeId from, final Message msg, final Consumer<Message> back) {
-        if (msg instanceof LearnNotification m) {
-            m.items().forEach(this::learn);
-            back.accept(new AckResponse());
+    private void handle(final NodeId from, final Message message, final Consumer<Message> callback) {
+        if (message instanceof LearnNotification notification) {
+            notification.items().forEach(this::learn);
+            callback.accept(new AckResponse());
         } else if (voter.isEmpty()) {
-            back.accept(new RejectedResponse("no voter"));
-        } else if (msg instanceof PrepareRequest m) {
-            voter.get().prepare(m, back);
-        } else if (msg instanceof AcceptRequest m) {
-            voter.get().accept(m, back);
-        } else if (msg instanceof AcceptedChecksumsRequest m) {
-            voter.get().acceptedChecksums(m, back);
-        } else if (msg instanceof StateTransferRequest m) {
-            voter.get().transferState(from, m, back);
-        } else if (msg instanceof RegisterHandoverRequest m) {
-            voter.get().handOverRegisters(from, m, back);
-        } else if (msg instanceof RecordHandoverRequest m) {
-            voter.get().handOverRecords(from, m, back);
+            callback.accept(new RejectedResponse("no voter"));
+        } else if (message instanceof PrepareRequest request) {
+            voter.get().prepare(request, callback);
+        } else if (message instanceof AcceptRequest request) {
+            voter.get().accept(request, callback);
+        } else if (message instanceof AcceptedChecksumsRequest request) {
+            voter.get().acceptedChecksums(request, callback);
+        } else if (message instanceof StateTransferRequest request) {
+            voter.get().transferState(from, request, callback);
+        } else if (message instanceof RegisterHandoverRequest request) {
+            voter.get().handOverRegisters(from, request, callback);
+        } else if (message instanceof RecordHandoverRequest request) {
+            voter.get().handOverRecords(from, request, callback);
         }
     }
 
@@ -219,23 +220,23 @@
         return self;
     }
 
-    boolean votes() {
-        return votes;
+    boolean isVoter() {
+        return isVoter;
     }
 
     boolean alive() {
         return alive;
     }
 
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
-    VotingConfiguration electorate() {
+    VotingConfiguration votingConfiguration() {
         return votingConfiguration;
     }
 
-    Proposer writer() {
+    Proposer proposer() {
         return proposer;
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/consensus/RegisterTableTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/RegisterTableTest.java
@@ -18,9 +18,9 @@
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.control.store.ItemDigest;
 
-/** Pages of registers: each that differs is in just one of them, whatever their sizes. */
+/** Every register that differs is on exactly one page, whatever the sizes of the registers are. */
 class RegisterTableTest {
-    private static final List<Long> NONE = Collections.nCopies(ItemDigest.BUCKETS, 0L);
+    private static final List<Long> NO_CHECKSUMS = Collections.nCopies(ItemDigest.BUCKETS, 0L);
     private final Random random = new Random(3);
 
     private static Register register(final int name, final long round, final int bytes) {
@@ -31,21 +31,22 @@
                         new ItemId(ItemKind.ROUTE, "r" + name), new Version(1 + round), "b".repeat(bytes), false, "t"));
     }
 
-    private static Set<ItemId> readAll(final RegisterTable table, final List<Long> checksums, final boolean within) {
+    private static Set<ItemId> readAll(
+            final RegisterTable table, final List<Long> checksums, final boolean withinBuckets) {
         final Set<ItemId> read = new TreeSet<>();
         RegisterPosition from = RegisterPosition.START;
         while (from != null) {
-            final RegisterTable.Page page = table.page(checksums, from, within);
+            final RegisterTable.Page page = table.page(checksums, from, withinBuckets);
             page.registers()
-                    .forEach(register -> assertTrue(read.add(register.item().id()), "read once"));
-            assertTrue(page.next() == null || !page.registers().isEmpty(), "each page gets on");
+                    .forEach(register -> assertTrue(read.add(register.item().id()), "a register is read twice"));
+            assertTrue(page.next() == null || !page.registers().isEmpty(), "a page makes no progress");
             from = page.next();
         }
         return read;
     }
 
     @Test
-    void everyAcceptedRegisterIsInOnePage() {
+    void everyAcceptedRegisterIsOnOnePage() {
         final RegisterTable table = new RegisterTable();
         final Set<ItemId> accepted = new TreeSet<>();
         for (int i = 0; i < 3000; i++) {
@@ -55,20 +56,20 @@
                 accepted.add(register.item().id());
             }
         }
-        assertEquals(accepted, readAll(table, NONE, true));
-        assertEquals(accepted, readAll(table, NONE, false));
+        assertEquals(accepted, readAll(table, NO_CHECKSUMS, true));
+        assertEquals(accepted, readAll(table, NO_CHECKSUMS, false));
         assertEquals(Set.of(), readAll(table, table.checksums(), true));
     }
 
-    /** Guards against a bucket that is larger than a message. */
+    /** Guards against a page that is too large for a message because a single bucket is. */
     @Test
-    void aPageHasNoMoreThanItsSizeAndOneRegister() {
+    void aPageStaysWithinItsSizeLimit() {
         final RegisterTable table = new RegisterTable();
         for (int i = 0; i < 20_000; i++) {
             table.put(register(i, 1, 500));
         }
         for (RegisterPosition from = RegisterPosition.START; from != null; ) {
-            final RegisterTable.Page page = table.page(NONE, from, true);
+            final RegisterTable.Page page = table.page(NO_CHECKSUMS, from, true);
             final int bytes = page.registers().stream()
                     .mapToInt(register -> register.item().approximateBytes())
                     .sum();
@@ -87,9 +88,9 @@
                 table.put(register(random.nextInt(300), random.nextInt(50), 10));
             }
         }
-        assertEquals(AcceptorState.checksums(table.all().values(), ItemDigest.BUCKETS), table.checksums());
+        assertEquals(AcceptorState.checksums(table.registers().values(), ItemDigest.BUCKETS), table.checksums());
         table.clear();
-        assertEquals(NONE, table.checksums());
+        assertEquals(NO_CHECKSUMS, table.checksums());
         assertEquals(0, table.digest().total());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/consensus/VotingChangeModel.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/VotingChangeModel.java
@@ -15,97 +15,101 @@
 import org.rowanvalve.control.voting.VotingSet;
 
 /**
- * One run of a change of voters over the real voter, writer and electorate: virtual time, disks that outlive a crash, a
- * network on which the message of a stated number, and only that one, meets a fault. Two writers add their marks to one
- * register all the while. What must hold is checked after each event and at the end.
+ * Simulates one change of the voting set with the real acceptors, proposers and voting configurations. Time is virtual,
+ * disks survive a crash, and the network injects one fault at the message with a given number. Meanwhile two proposers
+ * append entries to one register. The invariants are checked after each event and at the end.
  */
 final class VotingChangeModel {
     private static final ItemId REGISTER = new ItemId(ItemKind.ROUTE, "r");
-    private static final long HOP = 5;
-    private static final long LATE = 250;
-    private static final long FOUNDING = 1400;
-    private static final long TROUBLE = 700;
-    private static final long CALM = 1600;
-    private static final int WRITES = 4;
-    private static final long APART = 160;
+    private static final long LATENCY_MS = 5;
+    private static final long DELAYED_LATENCY_MS = 250;
+    private static final long FOUNDING_MS = 1400;
+    private static final long FAULT_PHASE_MS = 700;
+    private static final long RECOVERY_PHASE_MS = 1600;
+    private static final int WRITES_PER_PROPOSER = 4;
+    private static final long WRITE_INTERVAL_MS = 160;
 
-    /** What may happen to a message, or to the node that gets it. */
+    /** A fault that affects a message, or the node that sends or receives this message. */
     enum Fault {
         NONE,
         LOST,
-        LATE,
-        TWICE,
+        DELAYED,
+        DUPLICATED,
         CRASH,
         WIPE,
         SENDER_CRASH
     }
 
-    /** {@code heard}: which of the voters the remote writer, and nobody else beside it, exchanges messages with; empty: all. */
-    record Scene(List<String> before, List<String> after, List<String> heard, boolean silent) {}
+    /**
+     * {@code before} and {@code after}: the voting sets. {@code remotePeers}: the only nodes that can exchange messages
+     * with the remote proposer during the fault phase; if empty, every link works. {@code lastPeerIsolated}: whether
+     * the last of them can reach no node but the remote proposer.
+     */
+    record Scenario(List<String> before, List<String> after, List<String> remotePeers, boolean lastPeerIsolated) {}
 
-    private record Due(long at, long number, Runnable job) implements Comparable<Due> {
+    private record ScheduledTask(long at, long number, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(final Due o) {
+        public int compareTo(final ScheduledTask o) {
             return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
         }
     }
 
-    private final Scene scene;
-    private final int faulty;
+    private final Scenario scenario;
+    private final int faultyMessage;
     private final Fault fault;
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
     private final Map<String, ModelMachine> machines = new TreeMap<>();
-    private final Map<Long, List<String>> sets = new TreeMap<>();
-    private final Map<Long, String> accepted = new TreeMap<>();
-    private final List<String> breaches = new ArrayList<>();
+    private final Map<Long, List<String>> votingSets = new TreeMap<>();
+    private final Map<Long, String> acknowledged = new TreeMap<>();
+    private final List<String> violations = new ArrayList<>();
     private long now = 1000;
     private long number;
     private int messages;
-    private int marks;
-    private boolean troubled;
+    private int writes;
+    private boolean faultPhase;
 
-    /** The message number {@code faulty} meets {@code fault}. */
-    VotingChangeModel(final Scene scene, final int faulty, final Fault fault) {
-        this.scene = scene;
-        this.faulty = faulty;
+    /** {@code fault} is injected at the message with the number {@code faultyMessage}. */
+    VotingChangeModel(final Scenario scenario, final int faultyMessage, final Fault fault) {
+        this.scenario = scenario;
+        this.faultyMessage = faultyMessage;
         this.fault = fault;
-        sets.put(0L, scene.before());
-        final Set<String> voters = new java.util.TreeSet<>(scene.before());
-        voters.addAll(scene.after());
+        votingSets.put(0L, scenario.before());
+        final Set<String> voters = new java.util.TreeSet<>(scenario.before());
+        voters.addAll(scenario.after());
         voters.forEach(v -> machines.put(v, new ModelMachine(this, v, true)));
         List.of("near", "remote").forEach(w -> machines.put(w, new ModelMachine(this, w, false)));
     }
 
-    /** Runs it all; what was broken. */
+    /** Runs the simulation and returns the violated invariants. */
     List<String> run() {
         machines.values().forEach(m -> m.start(true));
-        runFor(FOUNDING);
-        troubled = true;
-        at(10, this::change);
-        for (int i = 0; i < WRITES; i++) {
-            at(APART * i, () -> write("near"));
-            at(APART * i + APART / 2, () -> write("remote"));
+        runFor(FOUNDING_MS);
+        faultPhase = true;
+        scheduleAfter(10, this::proposeChange);
+        for (int i = 0; i < WRITES_PER_PROPOSER; i++) {
+            scheduleAfter(WRITE_INTERVAL_MS * i, () -> write("near"));
+            scheduleAfter(WRITE_INTERVAL_MS * i + WRITE_INTERVAL_MS / 2, () -> write("remote"));
         }
-        runFor(TROUBLE);
-        troubled = false;
-        runFor(CALM);
-        last();
-        return breaches;
+        runFor(FAULT_PHASE_MS);
+        faultPhase = false;
+        runFor(RECOVERY_PHASE_MS);
+        checkFinalValue();
+        return violations;
     }
 
     long now() {
         return now;
     }
 
-    Scene scene() {
-        return scene;
+    Scenario scenario() {
+        return scenario;
     }
 
     ModelMachine machine(final NodeId id) {
         return machines.get(id.text());
     }
 
-    List<NodeId> all() {
+    List<NodeId> nodeIds() {
         return machines.keySet().stream().map(VotingChangeModel::id).toList();
     }
 
@@ -113,12 +117,12 @@
         return messages;
     }
 
-    int marks() {
-        return accepted.size();
+    int acknowledgedWrites() {
+        return acknowledged.size();
     }
 
     long epoch() {
-        return machines.get("near").electorate().epoch();
+        return machines.get("near").votingConfiguration().epoch();
     }
 
     static NodeId id(final String name) {
@@ -129,46 +133,46 @@
         return names.stream().map(n -> n + "@10.0.0.1:1").toList();
     }
 
-    void at(final long after, final Runnable job) {
-        queue.add(new Due(now + after, number++, job));
+    void scheduleAfter(final long delayMs, final Runnable task) {
+        queue.add(new ScheduledTask(now + delayMs, number++, task));
     }
 
-    private void runFor(final long span) {
-        final long end = now + span;
+    private void runFor(final long durationMs) {
+        final long end = now + durationMs;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             now = queue.peek().at();
-            queue.poll().job().run();
-            oneWorkingMajority();
+            queue.poll().task().run();
+            checkOnlyOneMajorityVotes();
         }
         now = end;
     }
 
-    /** At no moment could majorities of two sets answer. */
-    private void oneWorkingMajority() {
-        int working = 0;
-        for (final Map.Entry<Long, List<String>> set : sets.entrySet()) {
+    /** Checks that at no moment the majorities of two voting sets can vote. */
+    private void checkOnlyOneMajorityVotes() {
+        int majorities = 0;
+        for (final Map.Entry<Long, List<String>> set : votingSets.entrySet()) {
             int voting = 0;
             for (final String v : set.getValue()) {
                 voting += machines.get(v).votesIn(set.getKey()) ? 1 : 0;
             }
-            working += voting > set.getValue().size() / 2 ? 1 : 0;
+            majorities += voting > set.getValue().size() / 2 ? 1 : 0;
         }
-        if (working > 1) {
-            breach("two sets hold a working majority");
+        if (majorities > 1) {
+            addViolation("majorities of two voting sets can vote");
         }
     }
 
-    private void breach(final String what) {
-        if (breaches.size() < 3) {
-            breaches.add(what + " (message " + faulty + " " + fault + ")");
+    private void addViolation(final String violation) {
+        if (violations.size() < 3) {
+            violations.add(violation + " (message " + faultyMessage + " " + fault + ")");
         }
     }
 
-    private void change() {
+    private void proposeChange() {
         final ModelMachine near = machines.get("near");
-        sets.put(1L, scene.after());
-        final String body = Json.write(new VotingSet(addresses(scene.after()), addresses(scene.before())));
-        near.writer()
+        votingSets.put(1L, scenario.after());
+        final String body = Json.write(new VotingSet(addresses(scenario.after()), addresses(scenario.before())));
+        near.proposer()
                 .propose(
                         ItemId.VOTERS,
                         "change",
@@ -179,46 +183,54 @@
                         r -> {});
     }
 
-    /** Adds a mark to what stands. */
-    private void write(final String at) {
-        final String mark = "m" + ++marks;
-        final ModelMachine machine = machines.get(at);
-        machine.writer()
+    /** Appends an entry to the current value. */
+    private void write(final String name) {
+        final String entry = "m" + ++writes;
+        final ModelMachine machine = machines.get(name);
+        machine.proposer()
                 .propose(
-                        REGISTER, mark, 400, item -> Optional.of(item.successor(item.body() + mark + " ", mark)), r -> {
+                        REGISTER,
+                        entry,
+                        400,
+                        item -> Optional.of(item.successor(item.body() + entry + " ", entry)),
+                        r -> {
                             if (r.isAccepted()) {
-                                seen(r.item());
+                                recordAcknowledged(r.item());
                             }
                         });
     }
 
-    /** An acknowledged version has one value. */
-    private void seen(final Item item) {
-        final String other = accepted.put(item.version().number(), item.body());
+    /** Checks that an acknowledged version has only one value. */
+    private void recordAcknowledged(final Item item) {
+        final String other = acknowledged.put(item.version().number(), item.body());
         if (other != null && !other.equals(item.body())) {
-            breach("version " + item.version().number() + " is " + other + " and " + item.body());
+            addViolation("version " + item.version().number() + " has the values " + other + " and " + item.body());
         }
     }
 
-    private void last() {
-        final Item[] end = new Item[1];
-        machines.get("near").writer().read(REGISTER, 2000, r -> end[0] = r.isAccepted() ? r.item() : null);
+    private void checkFinalValue() {
+        final Item[] finalItem = new Item[1];
+        machines.get("near").proposer().read(REGISTER, 2000, r -> finalItem[0] = r.isAccepted() ? r.item() : null);
         runFor(2100);
-        if (end[0] == null) {
-            breach("nothing can be read in the end");
+        if (finalItem[0] == null) {
+            addViolation("the register cannot be read at the end");
             return;
         }
-        seen(end[0]);
-        accepted.forEach((version, body) -> {
-            if (!end[0].body().startsWith(body)) {
-                breach("acknowledged and lost: version " + version + " " + body + "of " + end[0].body());
+        recordAcknowledged(finalItem[0]);
+        acknowledged.forEach((version, body) -> {
+            if (!finalItem[0].body().startsWith(body)) {
+                addViolation(
+                        "an acknowledged write is lost: version " + version + " " + body + "of " + finalItem[0].body());
             }
         });
     }
 
-    /** The remote writer's links are as the scene says while there is trouble. */
-    private boolean open(final ModelMachine a, final ModelMachine b) {
-        if (!troubled || scene.heard().isEmpty() || a == b) {
+    /**
+     * Whether the link between two nodes works. During the fault phase the scenario restricts the links of the remote
+     * proposer and of its last peer.
+     */
+    private boolean isLinkOpen(final ModelMachine a, final ModelMachine b) {
+        if (!faultPhase || scenario.remotePeers().isEmpty() || a == b) {
             return true;
         }
         final boolean remote =
@@ -226,36 +238,37 @@
         final String other =
                 a.self().text().equals("remote") ? b.self().text() : a.self().text();
         if (remote) {
-            return scene.heard().contains(other);
+            return scenario.remotePeers().contains(other);
         }
-        final String last = scene.heard().get(scene.heard().size() - 1);
-        return !scene.silent()
-                || !a.self().text().equals(last) && !b.self().text().equals(last);
+        final String lastPeer =
+                scenario.remotePeers().get(scenario.remotePeers().size() - 1);
+        return !scenario.lastPeerIsolated()
+                || !a.self().text().equals(lastPeer) && !b.self().text().equals(lastPeer);
     }
 
-    void carry(final ModelMachine from, final ModelMachine to, final Runnable job) {
-        final boolean hit = from != to && troubled && ++messages == faulty;
-        final Fault now = hit ? fault : Fault.NONE;
-        if (!open(from, to) || now == Fault.LOST) {
+    void deliver(final ModelMachine from, final ModelMachine to, final Runnable task) {
+        final boolean hit = from != to && faultPhase && ++messages == faultyMessage;
+        final Fault injected = hit ? fault : Fault.NONE;
+        if (!isLinkOpen(from, to) || injected == Fault.LOST) {
             return;
         }
-        if (now == Fault.SENDER_CRASH && from.votes()) {
+        if (injected == Fault.SENDER_CRASH && from.isVoter()) {
             from.crash(false);
         }
-        final int life = to.life();
+        final int sentTo = to.incarnation();
         final Runnable arrive = () -> {
-            if (to.alive() && to.life() == life) {
-                job.run();
+            if (to.alive() && to.incarnation() == sentTo) {
+                task.run();
             }
         };
-        at(now == Fault.LATE ? LATE : HOP, () -> {
-            if ((now == Fault.CRASH || now == Fault.WIPE) && to.votes() && to.alive()) {
-                to.crash(now == Fault.WIPE);
+        scheduleAfter(injected == Fault.DELAYED ? DELAYED_LATENCY_MS : LATENCY_MS, () -> {
+            if ((injected == Fault.CRASH || injected == Fault.WIPE) && to.isVoter() && to.alive()) {
+                to.crash(injected == Fault.WIPE);
             }
             arrive.run();
         });
-        if (now == Fault.TWICE) {
-            at(LATE, arrive);
+        if (injected == Fault.DUPLICATED) {
+            scheduleAfter(DELAYED_LATENCY_MS, arrive);
         }
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/AcceptorRebuildTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/AcceptorRebuildTest.java
@@ -15,11 +15,11 @@
 import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
-/** What is accepted while an elector's memory is being rebuilt stands on its disk afterwards. */
+/** Items that a voter learns while its lost state is being rebuilt must be on its disk afterwards. */
 class AcceptorRebuildTest {
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void whatIsLearnedDuringARebuildIsOnTheDiskAfterIt(final long seed) {
+    void itemsLearnedDuringARebuildAreOnTheDiskAfterwards(final long seed) {
         final Deployment deployment = seed % 2 == 0 ? Deployment.coastline() : Deployment.kilimanjaro();
         final SimCluster cluster = new SimCluster(deployment, seed).open();
         cluster.crowd().factor(1e-6);
@@ -28,31 +28,31 @@
         cluster.loseDisk("st1", 200);
         cluster.world().in(700 + seed * 60, () -> cluster.stall("st1", 4000));
         final String service = deployment.kin().get(0).service();
-        final List<ApiResponse> said = new ArrayList<>();
+        final List<ApiResponse> responses = new ArrayList<>();
         for (int i = 0; i < 70; i++) {
             final ItemId id = new ItemId(ItemKind.ROUTE, "extra" + i);
             final byte[] body = Json.write(RunLog.row(
                             "prefix", "/extra" + i + "/", "service", service, "mode", "cached", "lifetimeMs", 500))
                     .getBytes();
-            cluster.node("ed1").putItem(id, body, 0, "w" + id.name(), said::add);
+            cluster.node("ed1").putItem(id, body, 0, "w" + id.name(), responses::add);
             cluster.run(90);
         }
         cluster.run(9000);
-        final List<Integer> done = new ArrayList<>();
+        final List<Integer> acknowledged = new ArrayList<>();
         for (int i = 0; i < 70; i++) {
-            final int n = i;
-            if (said.stream()
+            final int number = i;
+            if (responses.stream()
                     .anyMatch(response -> response.status() == 200
-                            && ("route/extra" + n).equals(response.body().get("item")))) {
-                done.add(n);
+                            && ("route/extra" + number).equals(response.body().get("item")))) {
+                acknowledged.add(number);
             }
         }
-        assertTrue(done.size() > 50, said.toString());
+        assertTrue(acknowledged.size() > 50, responses.toString());
         assertTrue(cluster.node("st1").node().acceptor().hasState());
         assertEquals(
                 List.of(),
-                done.stream()
-                        .filter(n -> !cluster.node("st1").disk().has("e/ROUTE/extra" + n))
+                acknowledged.stream()
+                        .filter(number -> !cluster.node("st1").disk().has("e/ROUTE/extra" + number))
                         .toList());
     }
 }
