--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
@@ -36,12 +36,22 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * A shield's leases. A lease is granted as uncertain, is held once a renewal of it is answered, and expires at the send
- * time of the last answered renewal plus D - M. Only a held lease starts fills; an uncertain or expired one still
- * serves what is cached.
+ * The leases of a shield, one for each shard that it owns. A granted lease is uncertain until the leader answers a
+ * renewal of it; then it is held. A lease expires at the send time of the last answered renewal plus D - M. New fills
+ * start only under a held lease. Cached responses are also served under an uncertain or expired lease.
  */
 public final class LeaseHolder {
-    private static final long RETRY_MS = 200;
+    private static final long CHECK_INTERVAL_MS = 50;
+    private static final long RENEWAL_RETRY_MS = 200;
+    private static final long HELLO_INTERVAL_MS = 500;
+    private static final long HELLO_TIMEOUT_MS = 450;
+    /** Delay before a hello is repeated after the leader of the same term has refused it. */
+    private static final long HELLO_RETRY_MS = 50;
+
+    private static final int MISSED_RENEWALS_BEFORE_HELLO = 2;
+    /** A send time before all others; subtracting it from the current time does not overflow. */
+    private static final long NEVER = Long.MIN_VALUE / 2;
+
     private final EventLoop loop;
     private final Transport transport;
     private final ItemStore items;
@@ -58,7 +68,7 @@
     private long helloSentAt;
     private long missedRenewals;
 
-    /** One shard's lease with its fencing token and the end of its validity. */
+    /** The lease of one shard, with its fencing token and the end of its validity. */
     public static final class Lease {
         private FencingToken token;
         private LeaseState state;
@@ -74,10 +84,13 @@
         }
     }
 
-    /** Stops all fills of a shard, gracefully and then forcibly; {@code done} hears whether all stopped. */
+    /**
+     * Stops all fills of a shard. Fills that have not ended after {@code graceMs} are aborted; {@code done} then gets
+     * whether all fills have stopped.
+     */
     @FunctionalInterface
     public interface FillStopper {
-        void stop(int shard, long grace, Consumer<Boolean> done);
+        void stop(int shard, long graceMs, Consumer<Boolean> done);
     }
 
     public LeaseHolder(
@@ -99,14 +112,15 @@
         this.fillStopper = fillStopper;
     }
 
-    /** Begins to renew the leases, and to expire those that were not renewed in time. */
+    /** Starts the periodic renewal of the leases and the check that expires leases not renewed in time. */
     public void start() {
         loop.scheduleRepeatedly(timings.renewIntervalMs(), this::renew);
-        loop.scheduleRepeatedly(50, this::tick);
+        loop.scheduleRepeatedly(CHECK_INTERVAL_MS, this::tick);
     }
 
     /**
-     * Whether a request to an origin may be sent now under this shard's lease. Checked again right before each send.
+     * Whether the lease of this shard allows a request to be sent to an origin now. Callers check this again
+     * immediately before each send.
      */
     public boolean mayFill(final int shard) {
         final Lease lease = leases.get(shard);
@@ -117,19 +131,22 @@
                 && clockSound.getAsBoolean();
     }
 
-    /** The fencing token of the shard's lease, or {@link FencingToken#ZERO} where there is none. */
+    /** The fencing token of the shard's lease, or {@link FencingToken#ZERO} if there is no lease. */
     public FencingToken token(final int shard) {
         final Lease lease = leases.get(shard);
         return lease == null ? FencingToken.ZERO : lease.token;
     }
 
-    /** Cached copies are served until the shard is known to be another's; only filling needs the lease. */
+    /**
+     * Whether cached responses of the shard may be served: until this node knows that the shard has another owner. Only
+     * fills require a held lease.
+     */
     public boolean mayServe(final int shard) {
         final Lease lease = leases.get(shard);
         return lease != null && lease.state != LeaseState.REVOKED;
     }
 
-    /** How many shards may be filled now. */
+    /** The number of shards for which fills may start now. */
     public long heldCount() {
         return leases.keySet().stream().filter(this::mayFill).count();
     }
@@ -144,36 +161,37 @@
             term = leadership.term();
             leader = NodeId.of(leadership.leader());
             placementReceived = false;
-            helloSentAt = Long.MIN_VALUE / 2;
+            helloSentAt = NEVER;
         }
         leases.forEach((shard, lease) -> {
             if ((lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN)
                     && lease.validUntil > 0
                     && loop.now() >= lease.validUntil) {
                 lease.state = LeaseState.EXPIRED;
-                fenceShard(shard, lease, "expired", ok -> {});
+                fenceShard(shard, lease, "expired", stopped -> {});
             }
         });
-        if (leader != null && !placementReceived && loop.now() - helloSentAt >= 500) {
+        if (leader != null && !placementReceived && loop.now() - helloSentAt >= HELLO_INTERVAL_MS) {
             helloSentAt = loop.now();
             transport.request(
                     leader,
                     new LeaseHelloRequest(term, reportedLeases(true)),
-                    450,
+                    HELLO_TIMEOUT_MS,
                     reply -> reply.as(LeaseHelloResponse.class)
-                            .filter(w -> !w.accepted() && w.term() == term)
-                            .ifPresent(w -> helloSentAt = Math.min(helloSentAt, loop.now() - 450)));
+                            .filter(response -> !response.accepted() && response.term() == term)
+                            .ifPresent(response -> helloSentAt =
+                                    Math.min(helloSentAt, loop.now() - HELLO_INTERVAL_MS + HELLO_RETRY_MS)));
         }
     }
 
-    private List<ShardLease> reportedLeases(final boolean allStopped) {
-        final List<ShardLease> list = new ArrayList<>();
+    private List<ShardLease> reportedLeases(final boolean includeInactive) {
+        final List<ShardLease> reported = new ArrayList<>();
         leases.forEach((shard, lease) -> {
-            if (allStopped || lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
-                list.add(new ShardLease(shard, lease.token, lease.fencing ? LeaseState.FENCING : lease.state));
+            if (includeInactive || lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
+                reported.add(new ShardLease(shard, lease.token, lease.fencing ? LeaseState.FENCING : lease.state));
             }
         });
-        return list;
+        return reported;
     }
 
     private void renew() {
@@ -182,15 +200,19 @@
         }
     }
 
-    /** One renewal, retried while it fails fast; it counts as unanswered after a quarter of D. */
-    private void sendRenewal(final List<ShardLease> leases, final long firstSentAt, final List<ShardDemand> demandNow) {
+    /**
+     * Sends one renewal. A renewal that fails early is sent again after {@link #RENEWAL_RETRY_MS}; the renewal counts
+     * as missed if no attempt is answered within a quarter of D.
+     */
+    private void sendRenewal(
+            final List<ShardLease> reported, final long firstSentAt, final List<ShardDemand> currentDemand) {
         final long sentAt = loop.now();
         final long sentTerm = term;
         final long remainingMs = firstSentAt + timings.leaseMs() / 4 - sentAt;
         transport.request(
                 leader,
                 new LeaseRenewRequest(
-                        term, leases, PlacementPlan.of(items.get(ItemId.PLAN)).weightsSerial(), demandNow),
+                        term, reported, PlacementPlan.of(items.get(ItemId.PLAN)).weightsSerial(), currentDemand),
                 remainingMs,
                 reply -> {
                     final LeaseRenewResponse response =
@@ -199,18 +221,18 @@
                         onRenewed(sentAt, response);
                     } else if (sentTerm != term || !placementReceived) {
                         missedRenewals = 0;
-                    } else if (firstSentAt + timings.leaseMs() / 4 - loop.now() > RETRY_MS) {
-                        loop.schedule(RETRY_MS, () -> sendRenewal(leases, firstSentAt, demandNow));
+                    } else if (firstSentAt + timings.leaseMs() / 4 - loop.now() > RENEWAL_RETRY_MS) {
+                        loop.schedule(RENEWAL_RETRY_MS, () -> sendRenewal(reported, firstSentAt, currentDemand));
                     } else {
                         loop.schedule(
                                 Math.max(0, firstSentAt + timings.leaseMs() / 4 - loop.now()),
-                                () -> onRenewalTimeout(leases, firstSentAt));
+                                () -> onRenewalTimeout(reported, firstSentAt));
                     }
                 });
     }
 
-    private void onRenewalTimeout(final List<ShardLease> list, final long sentAt) {
-        for (final ShardLease shardLease : list) {
+    private void onRenewalTimeout(final List<ShardLease> reported, final long sentAt) {
+        for (final ShardLease shardLease : reported) {
             final Lease lease = leases.get(shardLease.shard());
             if (lease.state == LeaseState.HELD
                     && lease.token.equals(shardLease.token())
@@ -219,7 +241,7 @@
                 journal.add(Event.of(EventCode.UNSURE, "shard", shardLease.shard(), "token", lease.token.toString()));
             }
         }
-        if (++missedRenewals >= 2) {
+        if (++missedRenewals >= MISSED_RENEWALS_BEFORE_HELLO) {
             placementReceived = false;
         } else {
             renew();
@@ -247,10 +269,10 @@
                 journal.add(Event.of(EventCode.HELD, "shard", shardLease.shard(), "token", lease.token.toString()));
             }
         }
-        response.stale().forEach(shardLease -> onRevoke(shardLease, ok -> {}));
+        response.stale().forEach(shardLease -> onRevoke(shardLease, stopped -> {}));
     }
 
-    /** Takes new leases from the leader; each is uncertain until a renewal of it is answered. */
+    /** Accepts leases from the leader. A new lease is uncertain until the leader answers a renewal of it. */
     public void onGrant(final NodeId from, final LeaseGrantRequest request, final Consumer<Message> callback) {
         if (request.term() != term || !from.equals(leader)) {
             callback.accept(new RejectedResponse("not the authority known here"));
@@ -301,28 +323,28 @@
         return true;
     }
 
-    /** Stops the fills of the named shards; the response leaves once they have ended. */
+    /** Revokes the given leases and stops the fills of their shards. The response is sent once the fills have ended. */
     public void onRevoke(final NodeId from, final LeaseRevokeRequest request, final Consumer<Message> callback) {
         if (request.term() < term) {
             callback.accept(new RejectedResponse("old term"));
             return;
         }
-        final List<Integer> stopped = new ArrayList<>();
+        final List<Integer> stoppedShards = new ArrayList<>();
         final int[] remaining = {request.leases().size()};
         final boolean[] allStopped = {true};
         for (final ShardLease shardLease : request.leases()) {
-            onRevoke(shardLease, ok -> {
-                allStopped[0] &= ok;
-                if (ok) {
-                    stopped.add(shardLease.shard());
+            onRevoke(shardLease, stopped -> {
+                allStopped[0] &= stopped;
+                if (stopped) {
+                    stoppedShards.add(shardLease.shard());
                 }
                 if (--remaining[0] == 0) {
-                    callback.accept(new LeaseRevokeResponse(allStopped[0], stopped));
+                    callback.accept(new LeaseRevokeResponse(allStopped[0], stoppedShards));
                 }
             });
         }
         if (request.leases().isEmpty()) {
-            callback.accept(new LeaseRevokeResponse(true, stopped));
+            callback.accept(new LeaseRevokeResponse(true, stoppedShards));
         }
     }
 
@@ -344,16 +366,19 @@
     private void fenceShard(final int shard, final Lease lease, final String reason, final Consumer<Boolean> callback) {
         lease.fencing = true;
         final FencingToken token = lease.token;
-        fillStopper.stop(shard, timings.marginMs() / 2, ok -> {
-            if (ok) {
+        fillStopper.stop(shard, timings.marginMs() / 2, stopped -> {
+            if (stopped) {
                 lease.fencing = false;
                 journal.add(Event.of(EventCode.FENCED, "shard", shard, "token", token.toString(), "why", reason));
             }
-            callback.accept(ok);
+            callback.accept(stopped);
         });
     }
 
-    /** After fills that could not be stopped in time: the leader declares the wait over. */
+    /**
+     * Ends the fencing of shards whose fills could not be stopped in time. The leader sends this once the earlier
+     * leases of these shards have expired for certain.
+     */
     public void onFenceAck(final FenceAckRequest request, final Consumer<Message> callback) {
         request.shards().forEach(shard -> {
             final Lease lease = leases.get(shard);
@@ -364,13 +389,16 @@
         callback.accept(new AckResponse());
     }
 
-    /** After a pause of the process or with an unreliable clock, no lease held before counts any more. */
+    /**
+     * Expires the held and uncertain leases. Called after a pause of the process or when the clock is unreliable, since
+     * the earlier leases are not valid any more then.
+     */
     public void dropAll() {
         placementReceived = false;
         leases.forEach((shard, lease) -> {
             if (lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
                 lease.state = LeaseState.EXPIRED;
-                fenceShard(shard, lease, "dropped", ok -> {});
+                fenceShard(shard, lease, "dropped", stopped -> {});
             }
         });
     }
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
@@ -45,12 +45,28 @@
 import org.rowanvalve.control.placement.Regions;
 
 /**
- * The leader's side of placement and leases. It grants a shard to another shield only when the earlier holder has
- * stopped all fills of it, or D + 2M after the last renewal that it granted to that holder: by then the holder's own
- * validity, counted from the earlier send time and shortened by M, has ended.
+ * Places shards on shields and grants their leases; runs at the leader. A shard is granted to another shield only after
+ * the earlier holder has stopped all fills of the shard, or D + 2M after the leader last granted or renewed the lease
+ * of that holder. By then the lease has expired at the holder, which counts its validity from the earlier send time of
+ * the renewal and shortens it by M.
  */
 public final class LeaseManager {
+    private static final long CHECK_INTERVAL_MS = 100;
+    /**
+     * Time for which a node is alive before it is preferred as an owner, and the minimum time between voluntary moves.
+     */
     private static final long SETTLE_MS = 3000;
+    /** Wait at the start of a term before the very first plan is written, so that it covers more shields. */
+    private static final long FIRST_PLAN_DELAY_MS = 1500;
+
+    private static final long PLAN_WRITE_TIMEOUT_MS = 1000;
+    private static final long REQUEST_TIMEOUT_MS = 450;
+    /** Time beyond M that a shield gets to answer a revocation. */
+    private static final long REVOCATION_SLACK_MS = 500;
+    /** A placement is sent again only to an owner that was heard from within this time. */
+    private static final long MAX_RESEND_SILENCE_MS = 600;
+
+    private static final long RESEND_INTERVAL_MS = 500;
     private final EventLoop loop;
     private final Transport transport;
     private final Proposer proposer;
@@ -63,7 +79,7 @@
     private final RateShareBalancer rateShares = new RateShareBalancer();
     private final Map<Integer, ShardState> shardStates = new TreeMap<>();
     private final Map<NodeId, Set<Integer>> pendingFenceAcks = new HashMap<>();
-    private final Set<NodeId> greeted = new HashSet<>();
+    private final Set<NodeId> reportedNodes = new HashSet<>();
     private LeaderElection election;
     private PlacementPlan plan;
     private Version planVersion = Version.ZERO;
@@ -91,8 +107,8 @@
             final EventJournal journal,
             final int shards,
             final Predicate<NodeId> clockSound,
-            final Regions places) {
-        this.ownerSelector = new OwnerSelector(places, membership);
+            final Regions regions) {
+        this.ownerSelector = new OwnerSelector(regions, membership);
         this.loop = loop;
         this.transport = transport;
         this.proposer = proposer;
@@ -105,18 +121,19 @@
 
     public void start(final LeaderElection leaderElection) {
         election = leaderElection;
-        loop.scheduleRepeatedly(100, this::tick);
+        loop.scheduleRepeatedly(CHECK_INTERVAL_MS, this::tick);
     }
 
     /**
-     * Begins a term. {@code lastGrant}: the last instant, on this clock, at which an earlier leader could have granted;
-     * {@code termLeapt}: whether earlier grants are unknown.
+     * Starts a term. {@code lastGrant} is the latest time, on this node's clock, at which an earlier leader may have
+     * granted a lease. {@code earlierGrantsUnknown} is true if earlier leaders may have granted leases that are not in
+     * the plan read here.
      */
-    public void onElected(final long term, final long lastGrant, final boolean termLeapt) {
-        grantsUnknown = termLeapt;
+    public void onElected(final long term, final long lastGrant, final boolean earlierGrantsUnknown) {
+        grantsUnknown = earlierGrantsUnknown;
         shardStates.clear();
         pendingFenceAcks.clear();
-        greeted.clear();
+        reportedNodes.clear();
         rateShares.clear(loop.now());
         lastPossibleGrant = lastGrant;
         termStartedAt = loop.now();
@@ -125,7 +142,10 @@
         loadPlan();
     }
 
-    /** The first write of a term repeats the plan, so that a late write of an earlier term finds another version. */
+    /**
+     * Reads the plan and writes it again as the first plan of the term. The new version makes a delayed write of an
+     * earlier term fail.
+     */
     private void loadPlan() {
         writing = true;
         final long term = election.term();
@@ -133,12 +153,12 @@
         proposer.propose(
                 ItemId.PLAN,
                 writeId,
-                1000,
-                currentOwner -> {
-                    final PlacementPlan current = PlacementPlan.of(currentOwner);
+                PLAN_WRITE_TIMEOUT_MS,
+                currentItem -> {
+                    final PlacementPlan current = PlacementPlan.of(currentItem);
                     return current.term() > term
                             ? Optional.empty()
-                            : Optional.of(currentOwner.successor(Json.write(current.of(term)), writeId));
+                            : Optional.of(currentItem.successor(Json.write(current.of(term)), writeId));
                 },
                 result -> {
                     if (term != election.term()) {
@@ -173,7 +193,7 @@
                 .map(Member::id)
                 .filter(clockSound)
                 .toList();
-        if (available.isEmpty() || plan.assignments().isEmpty() && loop.now() - termStartedAt < 1500) {
+        if (available.isEmpty() || plan.assignments().isEmpty() && loop.now() - termStartedAt < FIRST_PLAN_DELAY_MS) {
             return;
         }
         if (grantsUnknown && !resolveUnknownGrants()) {
@@ -191,23 +211,24 @@
         revokes.forEach(this::sendRevocations);
         if (moves.isEmpty()) {
             resendPlacements(available);
-            rateShares.nextPlan(plan, shards, loop.now()).ifPresent(p -> writePlan(p, Map.of()));
+            rateShares.nextPlan(plan, shards, loop.now()).ifPresent(nextPlan -> writePlan(nextPlan, Map.of()));
         } else {
             movePlan(moves);
         }
     }
 
     /**
-     * After a recovery from the only copy left: grants unknown here may be valid until the waiting time is over, or
-     * until all owners have reported.
+     * Returns whether shards may be placed after a recovery from the only remaining copy of the state. Leases that are
+     * unknown here may be valid until D + 2M after the last possible grant, or until all owners in the plan have
+     * reported theirs.
      */
     private boolean resolveUnknownGrants() {
         if (loop.now() < timings.regrantTime(lastPossibleGrant)
-                && !plan.assignments().stream().allMatch(p -> greeted.contains(p.ownerId()))) {
+                && !plan.assignments().stream().allMatch(assignment -> reportedNodes.contains(assignment.ownerId()))) {
             return false;
         }
         grantsUnknown = false;
-        shardStates.values().forEach(reply -> reply.released = true);
+        shardStates.values().forEach(state -> state.released = true);
         return true;
     }
 
@@ -258,22 +279,23 @@
         }
     }
 
-    private void sendRevocations(final NodeId from, final List<ShardLease> leases) {
+    private void sendRevocations(final NodeId owner, final List<ShardLease> leases) {
         final long term = election.term();
-        transport.request(from, new LeaseRevokeRequest(term, leases), timings.marginMs() + 500, reply -> {
-            if (election.term() != term || !planLoaded) {
-                return;
-            }
-            final Set<Integer> stopped = new HashSet<>();
-            reply.as(LeaseRevokeResponse.class).ifPresent(response -> stopped.addAll(response.stoppedShards()));
-            for (final ShardLease lease : leases) {
-                final ShardState state = shardStates.get(lease.shard());
-                if (plan.assignments().get(lease.shard()).token().equals(lease.token())) {
-                    state.released |= stopped.contains(lease.shard());
-                    state.revokeSent = state.released;
-                }
-            }
-        });
+        transport.request(
+                owner, new LeaseRevokeRequest(term, leases), timings.marginMs() + REVOCATION_SLACK_MS, reply -> {
+                    if (election.term() != term || !planLoaded) {
+                        return;
+                    }
+                    final Set<Integer> stopped = new HashSet<>();
+                    reply.as(LeaseRevokeResponse.class).ifPresent(response -> stopped.addAll(response.stoppedShards()));
+                    for (final ShardLease lease : leases) {
+                        final ShardState state = shardStates.get(lease.shard());
+                        if (plan.assignments().get(lease.shard()).token().equals(lease.token())) {
+                            state.released |= stopped.contains(lease.shard());
+                            state.revokeSent = state.released;
+                        }
+                    }
+                });
     }
 
     private void movePlan(final Map<Integer, NodeId> moves) {
@@ -288,7 +310,7 @@
         proposer.propose(
                 ItemId.PLAN,
                 writeId,
-                1000,
+                PLAN_WRITE_TIMEOUT_MS,
                 current -> current.version().equals(expectedVersion)
                         ? Optional.of(current.successor(Json.write(nextPlan), writeId))
                         : Optional.empty(),
@@ -318,9 +340,9 @@
             final NodeId owner = plan.assignments().get(shard).ownerId();
             if (!state.moving
                     && available.contains(owner)
-                    && membership.silenceMs(owner) < 600
+                    && membership.silenceMs(owner) < MAX_RESEND_SILENCE_MS
                     && loop.now() - state.renewedAt > timings.leaseMs() / 2
-                    && loop.now() - state.grantedAt > 500) {
+                    && loop.now() - state.grantedAt > RESEND_INTERVAL_MS) {
                 unrenewed.add(owner);
             }
         }
@@ -340,19 +362,26 @@
     }
 
     private void sendPlacement(final NodeId node) {
-        if (election.isLeader() && planLoaded && !grantsUnknown && greeted.contains(node)) {
+        if (election.isLeader() && planLoaded && !grantsUnknown && reportedNodes.contains(node)) {
             final List<ShardLease> leases = grantsFor(node);
             journal.add(
                     Event.of(EventCode.GRANTED, "node", node.text(), "shards", leases.size(), "epoch", plan.epoch()));
-            transport.request(node, new LeaseGrantRequest(election.term(), plan.epoch(), leases), 450, reply -> {});
+            transport.request(
+                    node,
+                    new LeaseGrantRequest(election.term(), plan.epoch(), leases),
+                    REQUEST_TIMEOUT_MS,
+                    reply -> {});
         }
     }
 
-    /** Order after a reconnect: revocations, then fence acknowledgements, then the complete placement. */
+    /**
+     * Handles the leases that a shield reports when it meets a new leader or has lost contact. The shield is sent
+     * revocations of stale leases first, then fence acknowledgements, and then its complete placement.
+     */
     public void onHello(final NodeId from, final LeaseHelloRequest request, final Consumer<Message> callback) {
-        final boolean mine = election.isLeader() && planLoaded && request.term() == election.term();
-        callback.accept(new LeaseHelloResponse(mine, election.term()));
-        if (!mine) {
+        final boolean accepted = election.isLeader() && planLoaded && request.term() == election.term();
+        callback.accept(new LeaseHelloResponse(accepted, election.term()));
+        if (!accepted) {
             return;
         }
         final long term = election.term();
@@ -362,35 +391,35 @@
         final List<ShardLease> stale = request.leases().stream()
                 .filter(lease -> !matchesPlan(from, lease) && lease.state() != LeaseState.REVOKED)
                 .toList();
-        final Runnable placement = () -> {
+        final Runnable sendOwnPlacement = () -> {
             if (election.term() == term) {
-                greeted.add(from);
+                reportedNodes.add(from);
                 sendPlacement(from);
             }
         };
-        final Runnable acknowledgements = () -> {
+        final Runnable sendAcknowledgements = () -> {
             final Set<Integer> pendingAcks = pendingFenceAcks.getOrDefault(from, Set.of());
             if (pendingAcks.isEmpty()) {
-                placement.run();
+                sendOwnPlacement.run();
             } else {
                 transport.request(
                         from,
                         new FenceAckRequest(term, List.copyOf(pendingAcks)),
-                        450,
-                        reply -> reply.as(AckResponse.class).ifPresent(ok -> {
+                        REQUEST_TIMEOUT_MS,
+                        reply -> reply.as(AckResponse.class).ifPresent(response -> {
                             pendingFenceAcks.remove(from);
-                            placement.run();
+                            sendOwnPlacement.run();
                         }));
             }
         };
         if (stale.isEmpty()) {
-            acknowledgements.run();
+            sendAcknowledgements.run();
         } else {
             transport.request(
                     from,
                     new LeaseRevokeRequest(term, stale),
-                    timings.marginMs() + 500,
-                    reply -> reply.as(LeaseRevokeResponse.class).ifPresent(ok -> acknowledgements.run()));
+                    timings.marginMs() + REVOCATION_SLACK_MS,
+                    reply -> reply.as(LeaseRevokeResponse.class).ifPresent(response -> sendAcknowledgements.run()));
         }
     }
 
--- a/control/src/main/java/org/rowanvalve/control/lease/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Shard leases: {@code LeaseManager} at the leader, {@code LeaseHolder} at shields. A holder fills only while its
- * lease is held; validity counts from the send time of the answered renewal, less the margin, and a shard is granted
- * to another holder only after the earlier lease has surely ended. Leases are in memory only: after a restart they are
- * granted again.
+ * Shard leases: {@code LeaseManager} runs at the leader, {@code LeaseHolder} at the shields. A holder starts fills only
+ * under a held lease. The validity of a lease counts from the send time of the last answered renewal and is shortened
+ * by a margin. A shard is granted to another holder only after the earlier lease has expired for certain. Leases are
+ * kept in memory only and are granted again after a restart.
  *
  * <p>Depends on {@code control.consensus}, {@code control.election}, {@code control.json}, {@code control.membership},
  * {@code control.placement} and {@code control.store}.
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordStore.java
@@ -40,9 +40,10 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * One replica of the records of keyed requests. It stores intents and outcomes, and refuses tokens below the highest it
- * was read with. Each write names the era in which its writer read this replica: whoever rebuilds lost records from
- * here ends the era, so that no intent can rest on an answer given before the loss and one given after the rebuilding.
+ * One replica of the records of keyed requests. It stores intents and outcomes, and rejects fencing tokens below the
+ * highest token that its records were read with. Each write names the era in which its writer read this replica. A
+ * replica that lost its records ends the era of this one before it copies the records from here. Without that, an
+ * intent could reach its majority with one acceptance given before the loss and another given after the rebuild.
  */
 public final class KeyedRecordStore implements RecordHandover, RecordRecovery.Records {
     private static final String RECORD_PREFIX = "k/";
@@ -61,7 +62,7 @@
     private final Map<Integer, FencingToken> tokenFloors = new HashMap<>();
     private final Map<Integer, String> lastReaders = new HashMap<>();
     private final Map<Integer, TokenFloor> syncedFloors = new HashMap<>();
-    /** Requesters for which this era was ended already; a repeated request does not end another. */
+    /** Requesters that have ended an era here; a repeated request of one of them does not end another era. */
     private final Set<String> eraEndedFor = Collections.newSetFromMap(new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(final Map.Entry<String, Boolean> eldest) {
@@ -71,7 +72,7 @@
 
     private long incompleteSince = Long.MIN_VALUE;
     private boolean incomplete;
-    /** The end of the incomplete state is being synced: rows saved after it must not bring that state back. */
+    /** Whether the removal of the incomplete mark is being synced; rows saved meanwhile must not restore the mark. */
     private boolean clearingIncomplete;
 
     private long era;
@@ -103,15 +104,15 @@
         this.recovery = new RecordRecovery(self, name, votingConfiguration, transport, loop, journal, table, this);
     }
 
-    /** Reads the records from disk; fails where they cannot be read. */
+    /** Loads the records from disk; throws if they cannot be read. */
     public void start() throws StorageException {
-        final long merged = wallClock.getAsLong();
+        final long now = wallClock.getAsLong();
         try {
             for (final Map.Entry<String, byte[]> row : storage.load().entrySet()) {
-                load(row.getKey(), row.getValue(), merged);
+                load(row.getKey(), row.getValue(), now);
             }
         } catch (final MessageFormatException e) {
-            throw new StorageException("keeper rows cannot be read", e);
+            throw new StorageException("stored rows of keyed records cannot be decoded", e);
         }
         recovery.start();
         loop.scheduleRepeatedly(SWEEP_INTERVAL_MS, this::removeExpired);
@@ -137,13 +138,16 @@
         }
     }
 
-    /** Whether this replica lacks records that it may once have stored, and that may still matter. */
+    /** Whether this replica may lack records that it once stored and whose retention time has not passed. */
     @Override
     public boolean isIncomplete() {
         return incomplete && wallClock.getAsLong() < incompleteSince + retention.retentionMs();
     }
 
-    /** Marks the records as incomplete, also after a restart; the other replicas' are copied from now on. */
+    /**
+     * Marks the records as incomplete and starts to copy those of the other replicas. The returned rows, once saved,
+     * keep the mark across restarts.
+     */
     @Override
     public Map<String, byte[]> markIncomplete() {
         incomplete = true;
@@ -158,12 +162,14 @@
                 : Map.of();
     }
 
-    /** How many records are stored. */
+    /** The number of stored records. */
     public int size() {
         return table.size();
     }
 
-    /** A holder reads a shard's records; only the last reader may write from then on. */
+    /**
+     * Handles the read of a shard's records by its holder. From then on only the last reader may write to the shard.
+     */
     public void onRead(final RecordReadRequest request, final Consumer<Message> callback) {
         final FencingToken tokenFloor = tokenFloors.getOrDefault(request.shard(), FencingToken.ZERO);
         if (storage.isStalled()) {
@@ -204,12 +210,12 @@
         });
     }
 
-    /** Records of an incomplete replica do not count and are not sent. */
+    /** An incomplete replica sends no records, since its records do not count. */
     private RecordReadResponse respondWithPage(final RecordReadRequest request) {
-        final int bytes = request.paged() ? KeyedRecordTable.LIGHT_PAGE_BYTES : Integer.MAX_VALUE;
+        final int pageBytes = request.paged() ? KeyedRecordTable.BODILESS_PAGE_BYTES : Integer.MAX_VALUE;
         final KeyedRecordTable.Page page = isIncomplete()
                 ? new KeyedRecordTable.Page(List.of(), null)
-                : table.pageOfShard(request.shard(), request.afterKey(), bytes);
+                : table.pageOfShard(request.shard(), request.afterKey(), pageBytes);
         final List<KeyedRecord> records = page.rows().stream()
                 .map(KeyedRecordTable.Row::keyedRecord)
                 .map(request.paged() ? KeyedRecord::withoutBody : KeyedRecord::withoutOutcome)
@@ -218,14 +224,18 @@
                 true, isIncomplete(), request.token(), records, era(request.shard()), page.nextKey());
     }
 
-    /** Whether the writer was the last to read this shard here, in this era. */
+    /**
+     * The era of a shard as its readers see it. It changes with the era of this replica and with the last reader of the
+     * shard, so a writer whose number still matches was the last to read the shard here in the present era.
+     */
     private long era(final int shard) {
         return era ^ Hash.hash64(lastReaders.getOrDefault(shard, ""));
     }
 
     /**
-     * Stores an intent or an outcome, unless the writer has to read this replica again or the record that stands here
-     * outranks it, which the response then bears; the response leaves once what stands is synced.
+     * Stores an intent or an outcome. The write is rejected if the writer has to read this replica again, or if the
+     * record stored here outranks it; in the latter case the response contains the stored record. The response is sent
+     * once the record that is kept has been synced.
      */
     public void onWrite(final RecordWriteRequest request, final Consumer<Message> callback) {
         final KeyedRecord record = request.keyedRecord();
@@ -257,7 +267,7 @@
         });
     }
 
-    /** An outcome may be given to anybody at any time. */
+    /** Returns the record of a key if it has an outcome. Any node may read an outcome, whatever its token and era. */
     public void onOutcomeRequest(final OutcomeRequest request, final Consumer<Message> callback) {
         final KeyedRecordTable.Row row = table.get(request.key());
         callback.accept(
@@ -265,8 +275,8 @@
     }
 
     /**
-     * Another replica that lost its records begins to copy this one's; with {@code endEra} this era ends before the
-     * first answer.
+     * Handles the first request of a replica that copies the records stored here. With {@code endEra} the era ends
+     * before the response is sent.
      */
     public void onChecksumsRequest(final RecordChecksumsRequest request, final Consumer<Message> callback) {
         if (isIncomplete()) {
@@ -278,8 +288,8 @@
         }
     }
 
-    private void endEra(final String asker, final Runnable then) {
-        if (eraEndedFor.add(asker)) {
+    private void endEra(final String requester, final Runnable then) {
+        if (eraEndedFor.add(requester)) {
             era++;
         }
         saveRow(ERA_KEY, new Era(era), ok -> {
@@ -293,7 +303,7 @@
         return new RecordChecksumsResponse(true, table.bucketSums(), Map.copyOf(tokenFloors));
     }
 
-    /** Gives a page of records to a replica that lost its own. */
+    /** Returns a page of records to a replica that copies them. */
     public void onPageRequest(final RecordPageRequest request, final Consumer<Message> callback) {
         if (isIncomplete()) {
             callback.accept(new RecordPageResponse(false, List.of(), 0, null));
@@ -303,19 +313,21 @@
     }
 
     private RecordPageResponse pageResponse(final KeyedRecordTable.Page page) {
-        final long merged = wallClock.getAsLong();
+        final long now = wallClock.getAsLong();
         final List<AgedRecord> records = page.rows().stream()
-                .map(row -> new AgedRecord(row.keyedRecord(), Math.max(0, merged - row.writtenAt()), row.retentionMs()))
+                .map(row -> new AgedRecord(row.keyedRecord(), Math.max(0, now - row.writtenAt()), row.retentionMs()))
                 .toList();
         return new RecordPageResponse(true, records, KeyedRecordTable.checksumOf(records), page.nextKey());
     }
 
-    /** A standby prepares to vote: {@code then} gets whether it holds what some voter held a moment ago. */
+    /** Prepares a standby to vote. {@code then} gets whether the records of some voter were copied here recently. */
     public void prepareStandby(final Consumer<Boolean> then) {
         recovery.prepareStandby(then);
     }
 
-    /** Every voter that counts has been copied: the replica is complete once all is synced. */
+    /**
+     * Removes the incomplete mark after enough voters have been copied. The replica is complete once this is synced.
+     */
     @Override
     public void onRecovered(final Consumer<Boolean> then) {
         final Map<String, byte[]> rows = new HashMap<>();
@@ -361,28 +373,34 @@
     }
 
     @Override
-    public RecordHandoverResponse page(final List<Long> otherFloors, final String after) {
-        final List<Integer> cells = table.differingBuckets(otherFloors).stream()
-                .filter(c -> after == null || c >= KeyedRecordTable.bucket(after))
+    public RecordHandoverResponse page(final List<Long> otherChecksums, final String afterKey) {
+        final List<Integer> buckets = table.differingBuckets(otherChecksums).stream()
+                .filter(bucket -> afterKey == null || bucket >= KeyedRecordTable.bucket(afterKey))
                 .toList();
-        final String from =
-                after == null || cells.isEmpty() || cells.get(0) != KeyedRecordTable.bucket(after) ? null : after;
-        return new RecordHandoverResponse(Map.copyOf(tokenFloors), pageResponse(table.pageOfBuckets(cells, from)));
+        final String firstKey =
+                afterKey == null || buckets.isEmpty() || buckets.get(0) != KeyedRecordTable.bucket(afterKey)
+                        ? null
+                        : afterKey;
+        return new RecordHandoverResponse(
+                Map.copyOf(tokenFloors), pageResponse(table.pageOfBuckets(buckets, firstKey)));
     }
 
     @Override
-    public boolean mergePage(final RecordHandoverResponse handed) {
-        if (!KeyedRecordTable.isIntact(handed.page())) {
+    public boolean mergePage(final RecordHandoverResponse response) {
+        if (!KeyedRecordTable.isIntact(response.page())) {
             journal.add(Event.of(
-                    EventCode.RECORDS_BAD, "records", handed.page().records().size()));
+                    EventCode.RECORDS_BAD, "records", response.page().records().size()));
             return false;
         }
-        raiseTokenFloors(handed.tokenFloors());
-        mergeRecords(handed.page().records());
+        raiseTokenFloors(response.tokenFloors());
+        mergeRecords(response.page().records());
         return true;
     }
 
-    /** Nobody has read these shards in the epoch that begins: every holder has to read them again. */
+    /**
+     * The token floors without their readers, and the removal of the incomplete mark. No shard has been read in the
+     * epoch that begins, so every holder has to read its shards again.
+     */
     @Override
     public Map<String, byte[]> handoverRows() {
         final Map<String, byte[]> rows = new HashMap<>();
@@ -414,7 +432,7 @@
         saveRows(Map.of(key, MessageCodec.encode(row)), then);
     }
 
-    /** While the replica is incomplete, every save marks it so. */
+    /** While the replica is incomplete, each save includes the incomplete mark. */
     private void saveRows(final Map<String, byte[]> rowsToSave, final Consumer<Boolean> then) {
         final Map<String, byte[]> rows = new HashMap<>(rowsToSave);
         rows.putAll(incompleteRows());
@@ -424,10 +442,10 @@
     }
 
     private void removeExpired() {
-        final long merged = wallClock.getAsLong();
+        final long now = wallClock.getAsLong();
         final long retentionMs = retention.retentionMs();
-        final List<String> expired = table.all().stream()
-                .filter(row -> row.isExpired(merged, retentionMs))
+        final List<String> expired = table.rows().stream()
+                .filter(row -> row.isExpired(now, retentionMs))
                 .map(row -> row.keyedRecord().key())
                 .toList();
         final Map<String, byte[]> rows = new HashMap<>();
--- a/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
+++ b/control/src/main/java/org/rowanvalve/control/record/KeyedRecordTable.java
@@ -14,42 +14,48 @@
 import org.rowanvalve.common.model.Hash;
 
 /**
- * The records of keyed requests of one replica, by shard and by bucket. Each bucket has a checksum over its records, so
- * that two replicas find where they differ without sending all.
+ * The records of keyed requests of one replica, indexed by shard and by bucket. Each bucket has a checksum over its
+ * records, so that two replicas find the buckets in which they differ without exchanging all records.
  */
 public final class KeyedRecordTable {
     static final int BUCKETS = 1024;
-    /** Bytes of a page: small enough not to delay other messages of the same connection. */
+    /** Size of a page with bodies: small enough not to delay other messages of the same connection. */
     static final int PAGE_BYTES = 48 << 10;
-
-    static final int LIGHT_PAGE_BYTES = 24 << 10;
+    /** Size of a page of records without bodies. */
+    static final int BODILESS_PAGE_BYTES = 24 << 10;
+    /** Encoded size of a record beyond its key and outcome, approximately. */
     private static final int RECORD_BYTES = 210;
+    /** Encoded size of an outcome beyond its headers and body, approximately. */
     private static final int OUTCOME_BYTES = 40;
+    /** Encoded size of a header beyond its name and value, approximately. */
+    private static final int HEADER_BYTES = 4;
+
     private final Map<String, Row> rows = new HashMap<>();
     private final Map<Integer, TreeMap<String, Row>> byShard = new HashMap<>();
     private final Map<Integer, TreeMap<String, Row>> byBucket = new HashMap<>();
     private final long[] bucketSums = new long[BUCKETS];
 
     /**
-     * {@code writtenAt}: when it was written, by the wall clock; {@code retentionMs}: how long it is kept from then on.
+     * A stored record. {@code writtenAt} is the wall clock time at which it was written; {@code retentionMs} is how
+     * long it is kept from then on.
      */
     public record Row(
             @JsonProperty("note") KeyedRecord keyedRecord,
             @JsonProperty("at") long writtenAt,
             @JsonProperty("stay") long retentionMs) {
-        boolean isExpired(final long now, final long least) {
-            return now - writtenAt > Math.max(retentionMs, least);
+        boolean isExpired(final long now, final long minRetentionMs) {
+            return now - writtenAt > Math.max(retentionMs, minRetentionMs);
         }
     }
 
-    /** {@code nextKey}: the last key of the page, or none where it is the last page. */
+    /** {@code nextKey} is the last key of the page, or null if no page follows. */
     record Page(List<Row> rows, String nextKey) {}
 
     static int bucket(final String key) {
         return (int) (Hash.hash64(key) >>> 20) & BUCKETS - 1;
     }
 
-    /** The part of a record that replicas compare: all but the body, which its key and attempt determine. */
+    /** The checksum of a record, over all but its body: the key and the attempt determine the body. */
     static long checksum(final KeyedRecord record) {
         return Hash.hash64(record.key()
                 + '\n'
@@ -68,7 +74,7 @@
                 .reduce(0, (a, b) -> a ^ b);
     }
 
-    /** Whether a page arrived as its sender made it. */
+    /** Whether the checksum of a page matches its records. */
     static boolean isIntact(final RecordPageResponse page) {
         return page.checksum() == checksumOf(page.records());
     }
@@ -77,7 +83,7 @@
         return rows.get(key);
     }
 
-    Collection<Row> all() {
+    Collection<Row> rows() {
         return rows.values();
     }
 
@@ -89,24 +95,24 @@
         remove(row.keyedRecord().key());
         final String key = row.keyedRecord().key();
         rows.put(key, row);
-        byShard.computeIfAbsent(row.keyedRecord().shard(), bucketSum -> new TreeMap<>())
+        byShard.computeIfAbsent(row.keyedRecord().shard(), shard -> new TreeMap<>())
                 .put(key, row);
         byBucket.computeIfAbsent(bucket(key), bucket -> new TreeMap<>()).put(key, row);
         bucketSums[bucket(key)] ^= checksum(row.keyedRecord());
     }
 
     void remove(final String key) {
-        final Row old = rows.remove(key);
-        if (old != null) {
-            removeFromIndex(byShard, old.keyedRecord().shard(), key);
+        final Row removed = rows.remove(key);
+        if (removed != null) {
+            removeFromIndex(byShard, removed.keyedRecord().shard(), key);
             removeFromIndex(byBucket, bucket(key), key);
-            bucketSums[bucket(key)] ^= checksum(old.keyedRecord());
+            bucketSums[bucket(key)] ^= checksum(removed.keyedRecord());
         }
     }
 
     private static void removeFromIndex(
-            final Map<Integer, TreeMap<String, Row>> index, final int at, final String key) {
-        index.computeIfPresent(at, (k, map) -> map.remove(key) != null && map.isEmpty() ? null : map);
+            final Map<Integer, TreeMap<String, Row>> index, final int indexKey, final String key) {
+        index.computeIfPresent(indexKey, (k, map) -> map.remove(key) != null && map.isEmpty() ? null : map);
     }
 
     List<Long> bucketSums() {
@@ -117,48 +123,51 @@
         return list;
     }
 
-    /** The buckets in which another replica's checksums differ from these. */
-    List<Integer> differingBuckets(final List<Long> other) {
-        final List<Integer> list = new ArrayList<>();
+    /** The buckets in which the checksums of another replica differ from the ones here. */
+    List<Integer> differingBuckets(final List<Long> otherSums) {
+        final List<Integer> differing = new ArrayList<>();
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
-            if (other.size() != BUCKETS || bucketSums[bucket] != other.get(bucket)) {
-                list.add(bucket);
+            if (otherSums.size() != BUCKETS || bucketSums[bucket] != otherSums.get(bucket)) {
+                differing.add(bucket);
             }
         }
-        return list;
+        return differing;
     }
 
-    /** Records of a shard without their bodies, after the key {@code afterKey}, or from the first. */
-    Page pageOfShard(final int shard, final String afterKey, final int bytes) {
-        final List<Row> list = new ArrayList<>();
-        int size = 0;
+    /**
+     * A page of the records of a shard, to be sent without bodies. It starts after {@code afterKey}, or with the first
+     * record if that is null.
+     */
+    Page pageOfShard(final int shard, final String afterKey, final int pageBytes) {
+        final List<Row> selected = new ArrayList<>();
+        int selectedBytes = 0;
         for (final Row row : rowsAfter(byShard.get(shard), afterKey)) {
-            if (size >= bytes) {
-                return page(list);
+            if (selectedBytes >= pageBytes) {
+                return page(selected);
             }
-            list.add(row);
-            size += RECORD_BYTES + row.keyedRecord().key().length();
+            selected.add(row);
+            selectedBytes += RECORD_BYTES + row.keyedRecord().key().length();
         }
-        return new Page(list, null);
+        return new Page(selected, null);
     }
 
-    /** Records of the buckets with their bodies; {@code afterKey} concerns the first of the buckets. */
-    Page pageOfBuckets(final List<Integer> wanted, final String afterKey) {
-        final List<Row> list = new ArrayList<>();
-        int size = 0;
-        String from = afterKey;
-        for (final int bucket : wanted) {
-            for (final Row row : rowsAfter(byBucket.get(bucket), from)) {
+    /** A page of the records of the buckets, with bodies. {@code afterKey} applies to the first of the buckets. */
+    Page pageOfBuckets(final List<Integer> buckets, final String afterKey) {
+        final List<Row> selected = new ArrayList<>();
+        int selectedBytes = 0;
+        String startKey = afterKey;
+        for (final int bucket : buckets) {
+            for (final Row row : rowsAfter(byBucket.get(bucket), startKey)) {
                 final int recordBytes = bytes(row.keyedRecord());
-                if (!list.isEmpty() && size + recordBytes > PAGE_BYTES) {
-                    return page(list);
+                if (!selected.isEmpty() && selectedBytes + recordBytes > PAGE_BYTES) {
+                    return page(selected);
                 }
-                list.add(row);
-                size += recordBytes;
+                selected.add(row);
+                selectedBytes += recordBytes;
             }
-            from = null;
+            startKey = null;
         }
-        return new Page(list, null);
+        return new Page(selected, null);
     }
 
     private static int bytes(final KeyedRecord record) {
@@ -169,7 +178,9 @@
         return OUTCOME_BYTES
                 + outcome.body().length
                 + outcome.headers().entrySet().stream()
-                        .mapToInt(h -> 4 + h.getKey().length() + h.getValue().length())
+                        .mapToInt(header -> HEADER_BYTES
+                                + header.getKey().length()
+                                + header.getValue().length())
                         .sum();
     }
 
@@ -179,7 +190,8 @@
                 : afterKey == null ? map.values() : map.tailMap(afterKey, false).values();
     }
 
-    private static Page page(final List<Row> list) {
-        return new Page(list, list.get(list.size() - 1).keyedRecord().key());
+    private static Page page(final List<Row> selected) {
+        return new Page(
+                selected, selected.get(selected.size() - 1).keyedRecord().key());
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
@@ -24,17 +24,18 @@
 import org.rowanvalve.common.runtime.Transport;
 
 /**
- * Copies the records that other replicas hold and this one lacks: first the checksums of all buckets, then pages of the
- * buckets that differ, from one replica after the other. A page that is late or whose checksum is wrong is requested
- * again, and only that one; a slow replica moves behind the others. What has been copied is not requested again.
+ * Copies the records that other replicas store and this one lacks. It requests the checksums of all buckets from every
+ * replica, and then pages of the buckets that differ from one replica after the other. A page that is late or has a
+ * wrong checksum is requested again on its own, and a slow replica moves to the end of the queue. Records that have
+ * been copied are not requested again.
  */
 final class RecordCopy {
-    private static final long FIRST_TIMEOUT_MILLIS = 1000;
-    private static final long LONGEST_TIMEOUT_MILLIS = 8000;
-    private static final long PAUSE_MS = 250;
-    private static final long EMPTY_SOURCE_PAUSE_MS = 1000;
+    private static final long INITIAL_TIMEOUT_MS = 1000;
+    private static final long MAX_TIMEOUT_MS = 8000;
+    private static final long RETRY_DELAY_MS = 250;
+    private static final long INCOMPLETE_SOURCE_RETRY_MS = 1000;
     private static final int FAILURES_BEFORE_SWITCH = 3;
-    /** Pages requested at a time; more would delay other messages of the connection. */
+    /** Pages requested at a time. More of them would delay other messages of the same connection. */
     private static final int PARALLEL_PAGES = 2;
 
     private final EventLoop loop;
@@ -43,7 +44,7 @@
     private final KeyedRecordTable table;
     private final long epoch;
     private final RecordChecksumsRequest checksumsRequest;
-    private final BiPredicate<Set<NodeId>, Set<NodeId>> enough;
+    private final BiPredicate<Set<NodeId>, Set<NodeId>> sufficient;
     private final Sink sink;
     private final Map<NodeId, Source> sources = new LinkedHashMap<>();
     private final Deque<Source> queue = new ArrayDeque<>();
@@ -55,19 +56,20 @@
     private int pages;
     private int records;
 
-    /** Receives what was copied. */
+    /** Receives the copied token floors and records. */
     interface Sink {
-        void tokenFloors(Map<Integer, FencingToken> bars);
+        void tokenFloors(Map<Integer, FencingToken> floors);
 
-        void records(List<AgedRecord> notes);
+        void records(List<AgedRecord> copiedRecords);
 
-        /** Every replica that counts has been copied. */
+        /** Called once enough replicas have been copied. */
         void onComplete();
     }
 
+    /** A replica that records are copied from. */
     private static final class Source {
         private final NodeId id;
-        private final List<Lane> lanes = new ArrayList<>();
+        private final List<PageStream> streams = new ArrayList<>();
         private List<Long> sums = List.of();
         private int failures;
 
@@ -76,31 +78,32 @@
         }
 
         long timeoutMs() {
-            return Math.min(LONGEST_TIMEOUT_MILLIS, FIRST_TIMEOUT_MILLIS << Math.min(failures, 3));
+            return Math.min(MAX_TIMEOUT_MS, INITIAL_TIMEOUT_MS << Math.min(failures, 3));
         }
 
-        long pauseMs() {
-            return PAUSE_MS << Math.min(failures, 2);
+        long retryDelayMs() {
+            return RETRY_DELAY_MS << Math.min(failures, 2);
         }
     }
 
     /**
-     * Buckets that are copied one page after the other; {@code afterKey}: the last key received of the first of them,
-     * or null.
+     * A sequence of buckets whose pages are requested one after the other. {@code afterKey} is the last key received
+     * from the first of the buckets, or null.
      */
-    private static final class Lane {
+    private static final class PageStream {
         private List<Integer> buckets;
         private String afterKey;
         private boolean requested;
 
-        Lane(final List<Integer> buckets) {
+        PageStream(final List<Integer> buckets) {
             this.buckets = buckets;
         }
     }
 
     /**
-     * {@code requester}: this start of this voter; {@code endEra}: whether the others' eras end for it; {@code enough}:
-     * whether the replicas that were copied, and those that reported to have no records, suffice.
+     * {@code requester} identifies this voter and its present run. {@code endEra} tells whether the sources end their
+     * eras first. {@code sufficient} decides whether the copy is finished, given the replicas that have been copied and
+     * those that reported to have lost their records.
      */
     RecordCopy(
             final EventLoop loop,
@@ -110,7 +113,7 @@
             final long epoch,
             final String requester,
             final boolean endEra,
-            final BiPredicate<Set<NodeId>, Set<NodeId>> enough,
+            final BiPredicate<Set<NodeId>, Set<NodeId>> sufficient,
             final Sink sink) {
         this.loop = loop;
         this.transport = transport;
@@ -118,13 +121,13 @@
         this.table = table;
         this.epoch = epoch;
         this.checksumsRequest = new RecordChecksumsRequest(epoch, requester, endEra);
-        this.enough = enough;
+        this.sufficient = sufficient;
         this.sink = sink;
         this.startedAt = loop.now();
     }
 
-    void start(final List<NodeId> from) {
-        from.forEach(id -> sources.put(id, new Source(id)));
+    void start(final List<NodeId> sourceIds) {
+        sourceIds.forEach(id -> sources.put(id, new Source(id)));
         sources.values().forEach(this::requestChecksums);
     }
 
@@ -147,10 +150,10 @@
                 reply.as(RecordChecksumsResponse.class).orElse(null);
         if (response == null || response.complete() && response.checksums().size() != KeyedRecordTable.BUCKETS) {
             source.failures++;
-            loop.schedule(source.pauseMs(), () -> requestChecksums(source));
+            loop.schedule(source.retryDelayMs(), () -> requestChecksums(source));
         } else if (!response.complete()) {
             withoutRecords.add(source.id);
-            loop.schedule(EMPTY_SOURCE_PAUSE_MS, () -> requestChecksums(source));
+            loop.schedule(INCOMPLETE_SOURCE_RETRY_MS, () -> requestChecksums(source));
             checkFinished();
         } else {
             withoutRecords.remove(source.id);
@@ -162,79 +165,84 @@
         }
     }
 
-    /** One replica at a time: what the first has given need not be requested from the next. */
+    /**
+     * Starts to copy the next source. Only one is active, so that records from it need not be requested from others.
+     */
     private void startNext() {
         if (finished || active != null || queue.isEmpty()) {
             return;
         }
         final Source source = queue.poll();
         active = source;
-        if (source.lanes.isEmpty()) {
-            openLanes(source);
+        if (source.streams.isEmpty()) {
+            openStreams(source);
         } else {
-            narrowLanes(source);
+            narrowStreams(source);
         }
         continueCopy(source);
     }
 
-    /** The buckets that differ, divided so that a page is on its way while the next is requested. */
-    private void openLanes(final Source source) {
+    /** Divides the differing buckets into streams, so that one page can be in transit while another is requested. */
+    private void openStreams(final Source source) {
         final List<Integer> differing = table.differingBuckets(source.sums);
         final int share = (differing.size() + PARALLEL_PAGES - 1) / PARALLEL_PAGES;
         for (int from = 0; from < differing.size(); from += share) {
-            source.lanes.add(new Lane(differing.subList(from, Math.min(differing.size(), from + share))));
+            source.streams.add(new PageStream(differing.subList(from, Math.min(differing.size(), from + share))));
         }
     }
 
-    /** Another replica has given something meanwhile; a bucket in the midst of which the last page ended is kept. */
-    private void narrowLanes(final Source source) {
+    /**
+     * Drops the buckets that no longer differ, since records from another source may have completed them. A bucket that
+     * the last page covered only in part is kept.
+     */
+    private void narrowStreams(final Source source) {
         final Set<Integer> differing = new HashSet<>(table.differingBuckets(source.sums));
-        source.lanes.forEach(lane -> lane.buckets = lane.buckets.stream()
-                .filter(c ->
-                        differing.contains(c) || lane.afterKey != null && c == KeyedRecordTable.bucket(lane.afterKey))
+        source.streams.forEach(stream -> stream.buckets = stream.buckets.stream()
+                .filter(bucket -> differing.contains(bucket)
+                        || stream.afterKey != null && bucket == KeyedRecordTable.bucket(stream.afterKey))
                 .toList());
     }
 
     private void continueCopy(final Source source) {
-        source.lanes.removeIf(lane -> lane.buckets.isEmpty() && !lane.requested);
-        if (source.lanes.isEmpty()) {
+        source.streams.removeIf(stream -> stream.buckets.isEmpty() && !stream.requested);
+        if (source.streams.isEmpty()) {
             active = null;
             copied.add(source.id);
             checkFinished();
             startNext();
         } else {
-            List.copyOf(source.lanes).forEach(lane -> requestPage(source, lane));
+            List.copyOf(source.streams).forEach(stream -> requestPage(source, stream));
         }
     }
 
-    private void requestPage(final Source source, final Lane lane) {
-        if (finished || active != source || lane.requested || lane.buckets.isEmpty()) {
+    private void requestPage(final Source source, final PageStream stream) {
+        if (finished || active != source || stream.requested || stream.buckets.isEmpty()) {
             return;
         }
-        lane.requested = true;
+        stream.requested = true;
         transport.request(
-                source.id, new RecordPageRequest(epoch, lane.buckets, lane.afterKey), source.timeoutMs(), reply -> {
-                    lane.requested = false;
+                source.id, new RecordPageRequest(epoch, stream.buckets, stream.afterKey), source.timeoutMs(), reply -> {
+                    stream.requested = false;
                     if (!finished) {
-                        onPage(source, lane, reply);
+                        onPage(source, stream, reply);
                     }
                 });
     }
 
-    private void onPage(final Source source, final Lane lane, final Reply reply) {
+    private void onPage(final Source source, final PageStream stream, final Reply reply) {
         final RecordPageResponse response = reply.as(RecordPageResponse.class).orElse(null);
-        if (response == null || response.complete() && !isIntact(source, lane, response)) {
-            onFailure(source, lane);
+        if (response == null || response.complete() && !isIntact(source, stream, response)) {
+            onFailure(source, stream);
         } else if (!response.complete()) {
-            onSourceEmptied(source);
+            onSourceIncomplete(source);
         } else {
-            onRecords(source, lane, response);
+            onRecords(source, stream, response);
         }
     }
 
-    /** The source has lost its own records: it is copied from the beginning once it has them again. */
-    private void onSourceEmptied(final Source source) {
-        source.lanes.clear();
+    /** The source has lost its own records. It is copied from the start once its records are complete again. */
+    private void onSourceIncomplete(final Source source) {
+        source.streams.clear();
         if (active == source) {
             active = null;
             requestChecksums(source);
@@ -242,9 +250,9 @@
         }
     }
 
-    private boolean isIntact(final Source source, final Lane lane, final RecordPageResponse response) {
+    private boolean isIntact(final Source source, final PageStream stream, final RecordPageResponse response) {
         final boolean intact = KeyedRecordTable.isIntact(response)
-                && (response.nextKey() == null || lane.buckets.contains(KeyedRecordTable.bucket(response.nextKey())));
+                && (response.nextKey() == null || stream.buckets.contains(KeyedRecordTable.bucket(response.nextKey())));
         if (!intact) {
             journal.add(Event.of(
                     EventCode.RECORDS_BAD,
@@ -256,37 +264,37 @@
         return intact;
     }
 
-    private void onFailure(final Source source, final Lane lane) {
+    private void onFailure(final Source source, final PageStream stream) {
         source.failures++;
         if (active == source && source.failures % FAILURES_BEFORE_SWITCH == 0 && !queue.isEmpty()) {
             active = null;
             queue.add(source);
             startNext();
         } else {
-            loop.schedule(source.pauseMs(), () -> requestPage(source, lane));
+            loop.schedule(source.retryDelayMs(), () -> requestPage(source, stream));
         }
     }
 
-    private void onRecords(final Source source, final Lane lane, final RecordPageResponse response) {
+    private void onRecords(final Source source, final PageStream stream, final RecordPageResponse response) {
         pages++;
         records += response.records().size();
         source.failures = 0;
         sink.records(response.records());
-        lane.afterKey = response.nextKey();
-        lane.buckets = response.nextKey() == null
+        stream.afterKey = response.nextKey();
+        stream.buckets = response.nextKey() == null
                 ? List.of()
-                : bucketsFrom(lane.buckets, KeyedRecordTable.bucket(response.nextKey()));
+                : bucketsFrom(stream.buckets, KeyedRecordTable.bucket(response.nextKey()));
         if (active == source) {
             continueCopy(source);
         }
     }
 
-    private static List<Integer> bucketsFrom(final List<Integer> cells, final int from) {
-        return new ArrayList<>(cells.subList(cells.indexOf(from), cells.size()));
+    private static List<Integer> bucketsFrom(final List<Integer> buckets, final int first) {
+        return new ArrayList<>(buckets.subList(buckets.indexOf(first), buckets.size()));
     }
 
     private void checkFinished() {
-        if (!finished && enough.test(copied, withoutRecords)) {
+        if (!finished && sufficient.test(copied, withoutRecords)) {
             finished = true;
             journal.add(Event.of(
                     EventCode.RECORDS_COPIED, "records", records, "pages", pages, "ms", loop.now() - startedAt));
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
@@ -16,16 +16,16 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Fills a record store from those of the present voters: a voter that lost its records until nothing is missing, a
- * standby so that little is left to hand over once it votes. One copy of each kind runs at a time; it is given up when
- * the voting set changes.
+ * Fills a record store from the stores of the current voters. A voter that lost its records copies until none are
+ * missing; a standby copies so that little is left to hand over when it becomes a voter. At most one copy of each kind
+ * runs at a time, and a copy is abandoned when the voting set changes.
  */
 final class RecordRecovery {
     private static final long CHECK_INTERVAL_MS = 250;
-    /** Time for which a standby counts as up to date after it has copied what a voter holds. */
-    private static final long WARM_MS = 3000;
+    /** Time for which a standby counts as up to date after it has copied the records of a voter. */
+    private static final long STANDBY_FRESH_MS = 3000;
 
-    private static final long STANDBY_TIMEOUT_MILLIS = 500;
+    private static final long STANDBY_TIMEOUT_MS = 500;
     private final NodeId self;
     private final String requester;
     private final VotingConfiguration votingConfiguration;
@@ -34,25 +34,25 @@
     private final EventJournal journal;
     private final KeyedRecordTable table;
     private final Records records;
-    private final List<Consumer<Boolean>> waitingForStandby = new ArrayList<>();
+    private final List<Consumer<Boolean>> standbyCallbacks = new ArrayList<>();
     private RecordCopy recovery;
     private RecordCopy standbyCopy;
     private boolean checkScheduled;
     private long standbyReadyAt = Long.MIN_VALUE;
 
-    /** The store that is filled. */
+    /** The store that receives the records. */
     interface Records {
         boolean isIncomplete();
 
-        void raiseTokenFloors(Map<Integer, FencingToken> bars);
+        void raiseTokenFloors(Map<Integer, FencingToken> otherFloors);
 
-        void mergeRecords(List<AgedRecord> notes);
+        void mergeRecords(List<AgedRecord> copiedRecords);
 
-        /** All that was missing is here; {@code then} gets whether that is synced. */
+        /** Called once no records are missing; {@code then} gets whether that state has been synced. */
         void onRecovered(Consumer<Boolean> then);
     }
 
-    /** {@code requester}: this start of this voter. */
+    /** {@code requester} identifies this voter and its present run. */
     RecordRecovery(
             final NodeId self,
             final String requester,
@@ -77,7 +77,7 @@
         recover();
     }
 
-    /** Called when the voting set has changed: copies from the earlier one are given up. */
+    /** Abandons the copies from members of the earlier voting set. */
     private void onVotingSetChange() {
         stop(recovery);
         recovery = null;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** While records are missing, one copy of the others' is under way. */
+    /** Keeps one copy from the other voters running while records are missing, and checks this periodically. */
     void recover() {
         if (!records.isIncomplete()) {
             stop(recovery);
@@ -120,7 +120,8 @@
     }
 
     /**
-     * Whether all others answered, those without records reported so, and a store has its own: every record is there.
+     * Whether every other voter has either been copied or reported that it lost its records, and a store is among those
+     * copied. In that case every record is present.
      */
     private boolean isOnlySource(final Set<NodeId> sources, final Set<NodeId> withoutRecords) {
         return sources.size() + withoutRecords.size()
@@ -128,14 +129,16 @@
                 && votingConfiguration.quorum().stores().stream().anyMatch(sources::contains);
     }
 
-    /** {@code callback} gets whether what some voter holds has been copied a moment ago. */
+    /**
+     * {@code callback} gets whether the records of some voter were copied within the last {@link #STANDBY_FRESH_MS}.
+     */
     void prepareStandby(final Consumer<Boolean> callback) {
         if (votingConfiguration.isVoter(self)
-                || standbyReadyAt != Long.MIN_VALUE && loop.now() - standbyReadyAt < WARM_MS) {
+                || standbyReadyAt != Long.MIN_VALUE && loop.now() - standbyReadyAt < STANDBY_FRESH_MS) {
             callback.accept(true);
             return;
         }
-        waitingForStandby.add(callback);
+        standbyCallbacks.add(callback);
         if (standbyCopy == null) {
             standbyCopy = copy(
                     false,
@@ -143,8 +146,8 @@
                             !copied.isEmpty() || votingConfiguration.quorum().isReadQuorum(withoutRecords),
                     this::onStandbyReady);
         }
-        loop.schedule(STANDBY_TIMEOUT_MILLIS, () -> {
-            if (waitingForStandby.remove(callback)) {
+        loop.schedule(STANDBY_TIMEOUT_MS, () -> {
+            if (standbyCallbacks.remove(callback)) {
                 callback.accept(false);
             }
         });
@@ -153,15 +156,15 @@
     private void onStandbyReady() {
         standbyCopy = null;
         standbyReadyAt = loop.now();
-        final List<Consumer<Boolean>> list = List.copyOf(waitingForStandby);
-        waitingForStandby.clear();
-        list.forEach(w -> w.accept(true));
+        final List<Consumer<Boolean>> callbacks = List.copyOf(standbyCallbacks);
+        standbyCallbacks.clear();
+        callbacks.forEach(callback -> callback.accept(true));
     }
 
     private RecordCopy copy(
-            final boolean endEra, final BiPredicate<Set<NodeId>, Set<NodeId>> enough, final Runnable done) {
+            final boolean endEra, final BiPredicate<Set<NodeId>, Set<NodeId>> sufficient, final Runnable done) {
         final Transport epochAware =
-                (recipient, msg, wait, callback) -> transport.request(recipient, msg, wait, reply -> {
+                (recipient, message, timeoutMs, callback) -> transport.request(recipient, message, timeoutMs, reply -> {
                     votingConfiguration.isEpochMismatch(recipient, reply);
                     callback.accept(reply);
                 });
@@ -169,7 +172,15 @@
         others.remove(self);
         Collections.rotate(others, Math.floorMod(self.hashCode(), Math.max(1, others.size())));
         final RecordCopy copy = new RecordCopy(
-                loop, epochAware, journal, table, votingConfiguration.epoch(), requester, endEra, enough, sink(done));
+                loop,
+                epochAware,
+                journal,
+                table,
+                votingConfiguration.epoch(),
+                requester,
+                endEra,
+                sufficient,
+                sink(done));
         copy.start(others);
         return copy;
     }
@@ -177,13 +188,13 @@
     private RecordCopy.Sink sink(final Runnable done) {
         return new RecordCopy.Sink() {
             @Override
-            public void tokenFloors(final Map<Integer, FencingToken> bars) {
-                records.raiseTokenFloors(bars);
+            public void tokenFloors(final Map<Integer, FencingToken> floors) {
+                records.raiseTokenFloors(floors);
             }
 
             @Override
-            public void records(final List<AgedRecord> notes) {
-                records.mergeRecords(notes);
+            public void records(final List<AgedRecord> copiedRecords) {
+                records.mergeRecords(copiedRecords);
             }
 
             @Override
--- a/control/src/main/java/org/rowanvalve/control/record/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/record/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Replicated records of keyed requests: which key was attempted or completed, under which token. A record counts once
- * a majority of the voters has synced it, and a new holder reads a majority before it executes a key, so a keyed
- * request runs at most once within its window, whatever single loss happens. Owns the rows of records on disk.
+ * Replicated records of keyed requests: which key was attempted or completed, and under which fencing token. A record
+ * counts once a majority of the voters has synced it, and a new holder reads a majority before it executes a key. A
+ * keyed request is therefore executed at most once within its window, despite any single loss. The package owns the
+ * stored rows of these records.
  *
  * <p>Depends on {@code control.consensus} and {@code control.voting}.
  */
--- a/control/src/main/java/org/rowanvalve/control/store/CollectionFloor.java
+++ b/control/src/main/java/org/rowanvalve/control/store/CollectionFloor.java
@@ -6,8 +6,9 @@
 import org.rowanvalve.control.json.Json;
 
 /**
- * The versions up to which dropped items have been collected. Purges and origins take their versions from one rising
- * count for each kind, so one number says what is dropped: all versions up to it, on every node, whatever their names.
+ * The versions up to which purges and origins have been garbage collected. All purges share one increasing version
+ * counter, and so do all origins. One number for each kind therefore tells every node which items are collected: those
+ * of any name with a version up to that number.
  */
 public record CollectionFloor(long purges, long origins) {
     public static final ItemId ID = new ItemId(ItemKind.COLLECTION, "floor");
@@ -17,13 +18,13 @@
         return item.exists() ? Json.read(item.body(), CollectionFloor.class) : NONE;
     }
 
-    /** The highest collected version of this kind; 0 for kinds that are never collected. */
+    /** The highest collected version of the kind, or 0 if items of the kind are never collected. */
     public long floor(final ItemKind kind) {
         return kind == ItemKind.PURGE ? purges : kind == ItemKind.ORIGIN ? origins : 0;
     }
 
     /** Whether this version of the item has been collected. */
-    public boolean covers(final ItemId id, final long ver) {
-        return ver <= floor(id.kind());
+    public boolean covers(final ItemId id, final long version) {
+        return version <= floor(id.kind());
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/store/ItemIndex.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemIndex.java
@@ -9,7 +9,9 @@
 import org.eclipse.collections.impl.factory.Sets;
 import org.rowanvalve.common.model.ItemId;
 
-/** Names of items by their bucket of the digest, so that those of a few buckets are found without a look at the others. */
+/**
+ * The ids of items by their bucket in the digest. The items of a few buckets are found without a scan of the others.
+ */
 final class ItemIndex {
     private final List<Set<ItemId>> byFinestBucket = new ArrayList<>(Collections.nCopies(ItemDigest.MAX_BUCKETS, null));
 
@@ -28,7 +30,7 @@
         }
     }
 
-    /** {@code bucketCount}: of how many buckets these are some. */
+    /** Runs {@code action} for each item in {@code buckets}, if items are divided into {@code bucketCount} buckets. */
     void forEach(final Collection<Integer> buckets, final int bucketCount, final Consumer<ItemId> action) {
         for (final int bucket : buckets) {
             for (int finest = bucket; finest < ItemDigest.MAX_BUCKETS; finest += bucketCount) {
--- a/control/src/main/java/org/rowanvalve/control/store/ItemPage.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemPage.java
@@ -5,11 +5,11 @@
 import org.rowanvalve.common.message.ChosenItem;
 
 /**
- * As many of some items as one message may bear: at least one where there is any, so that whoever asks again gets on;
- * {@code complete}: whether these are all.
+ * As many of the requested items as fit into one message. A page contains at least one item if there are any, so that
+ * repeated requests make progress. {@code complete} tells whether the page contains all of them.
  */
 public record ItemPage(List<ChosenItem> items, boolean complete) {
-    /** Small enough that a page and one more item of the largest size fit into a message. */
+    /** Page size in bytes; a page and one more item of the maximum size fit into a message. */
     static final int PAGE_BYTES = 512 << 10;
 
     public static ItemPage of(final Iterable<ChosenItem> candidates) {
--- a/control/src/main/java/org/rowanvalve/control/store/ItemStore.java
+++ b/control/src/main/java/org/rowanvalve/control/store/ItemStore.java
@@ -20,7 +20,7 @@
 import org.rowanvalve.common.model.Version;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** The chosen items that a node has learned. The version of an item never falls. */
+/** The chosen items that a node has learned. The version of an item never decreases. */
 public final class ItemStore {
     private final EventLoop loop;
     private final EventJournal journal;
@@ -38,12 +38,12 @@
         this.journal = journal;
     }
 
-    /** {@code view} gets each item right after it was learned, in the event loop. */
-    public void addListener(final Consumer<Item> view) {
-        listeners.add(view);
+    /** {@code listener} gets each item right after it was learned, in the event loop. */
+    public void addListener(final Consumer<Item> listener) {
+        listeners.add(listener);
     }
 
-    /** Learns a chosen item; false where the known version is as high, or the item was collected. */
+    /** Learns a chosen item. Returns false if the known version is not lower or the item has been garbage collected. */
     public boolean merge(final ChosenItem chosen) {
         final Item item = chosen.item();
         final Item previous = get(item.id());
@@ -67,7 +67,7 @@
                 item.version().number(),
                 "gone",
                 item.deleted()));
-        listeners.forEach(v -> v.accept(item));
+        listeners.forEach(listener -> listener.accept(item));
         highestVersions.merge(item.id().kind(), item.version().number(), Math::max);
         if (item.id().equals(CollectionFloor.ID)) {
             collect(CollectionFloor.of(item));
@@ -75,35 +75,38 @@
         return true;
     }
 
-    private void collect(final CollectionFloor now) {
-        collectionFloor = now;
-        final List<Item> dead = items.values().stream()
+    private void collect(final CollectionFloor floor) {
+        collectionFloor = floor;
+        final List<Item> collected = items.values().stream()
                 .map(ChosenItem::item)
                 .filter(item -> collectionFloor.covers(item.id(), item.version().number()))
                 .toList();
-        for (final Item item : dead) {
+        for (final Item item : collected) {
             digest.replace(item, Item.none(item.id()));
             items.remove(item.id());
             index.remove(item.id());
             learnedAt.remove(item.id());
-            listeners.forEach(v -> v.accept(Item.none(item.id())));
+            listeners.forEach(listener -> listener.accept(Item.none(item.id())));
         }
-        journal.add(
-                Event.of(EventCode.SWEPT, "purges", now.purges(), "origins", now.origins(), "dropped", dead.size()));
+        journal.add(Event.of(
+                EventCode.SWEPT, "purges", floor.purges(), "origins", floor.origins(), "dropped", collected.size()));
     }
 
     public CollectionFloor collectionFloor() {
         return collectionFloor;
     }
 
-    /** The version of the next item of a kind whose versions rise together. */
+    /**
+     * The version for a new state of an item. If the items of its kind share a version counter, it is above every
+     * version that is known or collected for the kind.
+     */
     public Version nextVersion(final Item next) {
         final ItemKind kind = next.id().kind();
-        final long least = 1 + Math.max(collectionFloor.floor(kind), highestVersions.getOrDefault(kind, 0L));
-        return kind.sharesVersionCounter() && least > next.version().number() ? new Version(least) : next.version();
+        final long lowest = 1 + Math.max(collectionFloor.floor(kind), highestVersions.getOrDefault(kind, 0L));
+        return kind.sharesVersionCounter() && lowest > next.version().number() ? new Version(lowest) : next.version();
     }
 
-    /** The chosen item, or one of version zero where none is known. */
+    /** The chosen item, or an item of version zero if none is known. */
     public Item get(final ItemId id) {
         final ChosenItem chosen = items.get(id);
         return chosen == null ? Item.none(id) : chosen.item();
@@ -114,7 +117,7 @@
         return !version.isAbove(get(id).version());
     }
 
-    /** What the configuration takes up as stored; a dropped item still counts with its name. */
+    /** The approximate size of the stored configuration, in bytes; a deleted item still counts with its name. */
     public long configurationBytes() {
         return configurationBytes;
     }
@@ -123,7 +126,7 @@
         return loop.now();
     }
 
-    /** When this node learned the item's version, in ms of its monotonic clock; 0 where it has none. */
+    /** When this node learned the item's version, in ms of its monotonic clock; 0 if it has none. */
     public long learnedAt(final ItemId id) {
         return learnedAt.getOrDefault(id, 0L);
     }
@@ -143,20 +146,20 @@
         return items.toImmutable();
     }
 
-    /** The versions of all items in these buckets of the digest, of {@code bucketCount} in all. */
+    /** The versions of all items in the given buckets of the digest with {@code bucketCount} buckets. */
     public Map<ItemId, Version> versions(final Collection<Integer> buckets, final int bucketCount) {
         final Map<ItemId, Version> versions = new HashMap<>();
         index.forEach(buckets, bucketCount, id -> versions.put(id, get(id).version()));
         return versions;
     }
 
-    /** The chosen items in these buckets of the digest, of {@code bucketCount} in all, that have this property. */
+    /** The chosen items that satisfy {@code filter}, in the given buckets of the {@code bucketCount} of the digest. */
     public List<ChosenItem> chosenItems(
-            final Collection<Integer> buckets, final int bucketCount, final Predicate<Item> property) {
+            final Collection<Integer> buckets, final int bucketCount, final Predicate<Item> filter) {
         final List<ChosenItem> chosenItems = new ArrayList<>();
         index.forEach(buckets, bucketCount, id -> {
             final ChosenItem chosen = items.get(id);
-            if (property.test(chosen.item())) {
+            if (filter.test(chosen.item())) {
                 chosenItems.add(chosen);
             }
         });
--- a/control/src/main/java/org/rowanvalve/control/store/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/store/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The chosen items that one node has learned, their digest, and the floor below which purges and origins are garbage
- * collected. Owned by the node's event loop; in memory only, it is learned again after each start.
+ * The chosen items that one node has learned, their digest, and the version floors up to which purges and origins are
+ * garbage collected. The event loop of the node owns this state. It is kept in memory only and learned again after each
+ * start.
  *
  * <p>Depends on {@code control.json}.
  */
--- a/control/src/test/java/org/rowanvalve/control/SampleValues.java
+++ b/control/src/test/java/org/rowanvalve/control/SampleValues.java
@@ -36,9 +36,9 @@
 import org.rowanvalve.control.config.Service;
 import org.rowanvalve.control.json.Json;
 
-/** Builds values of records by the order and types of their components, never by their names. */
+/** Builds sample values of records from the order and types of their components, not from the component names. */
 final class SampleValues {
-    /** Texts that stand for one of a few values, by the position of their component. */
+    /** Codes of components that accept only certain texts, by the position of the component. */
     private static final Map<Class<?>, Map<Integer, String>> CODES = Map.of(
             RejectedResponse.class, Map.of(0, "disk"),
             ShardLease.class, Map.of(2, "HELD"),
@@ -48,7 +48,7 @@
             Service.class, Map.of(0, "content"),
             Origin.class, Map.of(4, "open"));
 
-    /** How many components a record had in the first release that had the record; those after them may be null. */
+    /** The number of components in the first release that contained the record; components added later may be null. */
     private static final Map<Class<?>, Integer> FIRST_COMPONENTS = Map.of(
             DigestRequest.class, 2,
             ForwardRequest.class, 17,
@@ -60,10 +60,10 @@
             StateTransferRequest.class, 4,
             StateTransferResponse.class, 7);
 
-    /** How many it had in the release that added to it first, where another one has added to it since. */
+    /** The number of components after the first addition, for records that were extended twice. */
     private static final Map<Class<?>, Integer> SECOND_COMPONENTS = Map.of(ForwardRequest.class, 18);
 
-    /** The releases that a record may be as of. */
+    /** The releases whose set of components a sample may have. */
     private enum Release {
         FIRST,
         SECOND,
@@ -77,40 +77,42 @@
         this.release = release;
     }
 
-    private int componentCount(final Class<?> type, final int all) {
+    private int componentCount(final Class<?> type, final int currentCount) {
         return switch (release) {
-            case FIRST -> FIRST_COMPONENTS.getOrDefault(type, all);
-            case SECOND -> SECOND_COMPONENTS.getOrDefault(type, all);
-            case LATEST -> all;
+            case FIRST -> FIRST_COMPONENTS.getOrDefault(type, currentCount);
+            case SECOND -> SECOND_COMPONENTS.getOrDefault(type, currentCount);
+            case LATEST -> currentCount;
         };
     }
 
-    /** Every component holds something that its record's first release had. */
+    /** A sample in which every component of the record's first release has a value. */
     static <T> T full(final Class<T> type) {
         return type.cast(new SampleValues(Release.FIRST).value(type));
     }
 
-    /** Every component holds something that came with the first addition; empty where nothing was added. */
+    /** A sample with values also for the components of the first addition; empty if the record was never extended. */
     static <T> Optional<T> extended(final Class<T> type) {
         return FIRST_COMPONENTS.containsKey(type)
                 ? Optional.of(type.cast(new SampleValues(Release.SECOND).value(type)))
                 : Optional.empty();
     }
 
-    /** Every component holds something; empty where nothing was added a second time. */
+    /** A sample with values for all components; empty if the record was not extended a second time. */
     static <T> Optional<T> extendedAgain(final Class<T> type) {
         return SECOND_COMPONENTS.containsKey(type)
                 ? Optional.of(type.cast(new SampleValues(Release.LATEST).value(type)))
                 : Optional.empty();
     }
 
-    /** Every component that may be null is null; empty where the record does not take that. */
+    /** A sample in which every component that is not a primitive is null; empty if the record rejects nulls. */
     static <T> Optional<T> sparse(final Class<T> type) {
         final RecordComponent[] components = type.getRecordComponents();
         final Object[] values = Arrays.stream(components)
-                .map(c -> c.getType().isPrimitive() ? new SampleValues(Release.FIRST).value(c.getType()) : null)
+                .map(component -> component.getType().isPrimitive()
+                        ? new SampleValues(Release.FIRST).value(component.getType())
+                        : null)
                 .toArray();
-        if (Arrays.stream(values).allMatch(v -> v != null)) {
+        if (Arrays.stream(values).allMatch(value -> value != null)) {
             return Optional.empty();
         }
         try {
@@ -123,17 +125,17 @@
     }
 
     private static Constructor<?> constructor(final Class<?> type) throws NoSuchMethodException {
-        final Class<?>[] types = Arrays.stream(type.getRecordComponents())
+        final Class<?>[] componentTypes = Arrays.stream(type.getRecordComponents())
                 .map(RecordComponent::getType)
                 .toArray(Class<?>[]::new);
-        final Constructor<?> constructor = type.getDeclaredConstructor(types);
+        final Constructor<?> constructor = type.getDeclaredConstructor(componentTypes);
         constructor.setAccessible(true);
         return constructor;
     }
 
     private Object value(final Type type) {
-        if (type instanceof ParameterizedType p) {
-            return generic((Class<?>) p.getRawType(), p.getActualTypeArguments());
+        if (type instanceof ParameterizedType parameterized) {
+            return generic((Class<?>) parameterized.getRawType(), parameterized.getActualTypeArguments());
         }
         return plain((Class<?>) type);
     }
@@ -149,39 +151,39 @@
     }
 
     private Object plain(final Class<?> type) {
-        final long n = ++count;
+        final long number = ++count;
         if (type == long.class || type == Long.class) {
-            return n;
+            return number;
         }
         if (type == int.class || type == Integer.class) {
-            return (int) n;
+            return (int) number;
         }
         if (type == double.class || type == Double.class) {
-            return n + 0.5;
+            return number + 0.5;
         }
         if (type == boolean.class) {
             return true;
         }
         if (type == String.class) {
-            return "text-" + n;
+            return "text-" + number;
         }
         if (type == byte[].class) {
-            return new byte[] {(byte) n, 0, -1};
+            return new byte[] {(byte) number, 0, -1};
         }
         if (type == NodeId.class) {
-            return NodeId.of("node-" + n);
+            return NodeId.of("node-" + number);
         }
         if (type == ItemId.class) {
-            return new ItemId(ItemKind.values()[(int) n % ItemKind.values().length], "item-" + n);
+            return new ItemId(ItemKind.values()[(int) number % ItemKind.values().length], "item-" + number);
         }
         if (type == Version.class) {
-            return new Version(n);
+            return new Version(number);
         }
         if (type == FencingToken.class) {
-            return new FencingToken(n, n + 1);
+            return new FencingToken(number, number + 1);
         }
         if (type.isEnum()) {
-            return type.getEnumConstants()[(int) n % type.getEnumConstants().length];
+            return type.getEnumConstants()[(int) number % type.getEnumConstants().length];
         }
         if (type == Message.class) {
             return new AckResponse();
--- a/control/src/test/java/org/rowanvalve/control/VirtualTimeLoop.java
+++ b/control/src/test/java/org/rowanvalve/control/VirtualTimeLoop.java
@@ -3,16 +3,16 @@
 import java.util.PriorityQueue;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** A loop on virtual time. */
+/** An event loop on virtual time, which advances only in {@link #run}. */
 public final class VirtualTimeLoop implements EventLoop {
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledJob> queue = new PriorityQueue<>();
     private long now = 10_000;
-    private long seq;
+    private long sequence;
 
-    private record Due(long at, long seq, Runnable job) implements Comparable<Due> {
+    private record ScheduledJob(long dueAt, long sequence, Runnable job) implements Comparable<ScheduledJob> {
         @Override
-        public int compareTo(final Due o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+        public int compareTo(final ScheduledJob other) {
+            return dueAt != other.dueAt ? Long.compare(dueAt, other.dueAt) : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -23,13 +23,13 @@
 
     @Override
     public void schedule(final long ms, final Runnable job) {
-        queue.add(new Due(now + Math.max(0, ms), seq++, job));
+        queue.add(new ScheduledJob(now + Math.max(0, ms), sequence++, job));
     }
 
     public void run(final long ms) {
         final long end = now + ms;
-        while (!queue.isEmpty() && queue.peek().at() <= end) {
-            now = queue.peek().at();
+        while (!queue.isEmpty() && queue.peek().dueAt() <= end) {
+            now = queue.peek().dueAt();
             queue.poll().job().run();
         }
         now = end;
--- a/control/src/test/java/org/rowanvalve/control/record/KeyedRecordFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/record/KeyedRecordFixture.java
@@ -29,7 +29,7 @@
 import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** Three keepers of records on a loop of virtual time, with answers that can be late or lost. */
+/** Three replicas of keyed records on an event loop with virtual time. Responses can be delayed or lost. */
 abstract class KeyedRecordFixture {
     static final NodeId A = NodeId.of("a");
     static final NodeId B = NodeId.of("b");
@@ -39,18 +39,19 @@
     final EventJournal journal = new EventJournal(loop, 500);
     final Quorum quorum = new Quorum(List.of(A, B, C), Set.of());
     final RecordRetention retention = new RecordRetention(60_000, () -> 0);
-    final Map<NodeId, KeyedRecordStore> keepers = new HashMap<>();
-    final List<Message> asked = new ArrayList<>();
-    /** Bytes of all answers, by who gave them. */
-    final Map<NodeId, Long> bytes = new TreeMap<>();
+    final Map<NodeId, KeyedRecordStore> replicas = new HashMap<>();
+    final List<Message> requests = new ArrayList<>();
+    /** Bytes of all responses, by the replica that sent them. */
+    final Map<NodeId, Long> responseBytes = new TreeMap<>();
 
-    long largest;
-    /** How long an answer takes on its way; below zero it is lost. */
-    BiFunction<NodeId, Message, Long> delay = (id, m) -> 1L;
+    long largestResponse;
+    /** The delay of a response in ms; a response with a negative delay is lost. */
+    BiFunction<NodeId, Message, Long> responseDelayMs = (id, m) -> 1L;
 
-    static final class Rows implements StableStorage {
+    /** Rows in memory; with {@code delayingLoop} set, each save completes after 50 ms. */
+    static final class MemoryStorage implements StableStorage {
         final Map<String, byte[]> rows = new TreeMap<>();
-        EventLoop slow;
+        EventLoop delayingLoop;
 
         @Override
         public Map<String, byte[]> load() {
@@ -58,98 +59,99 @@
         }
 
         @Override
-        public void save(final Map<String, byte[]> some, final Consumer<Boolean> done) {
-            if (slow == null) {
-                sync(some, done);
+        public void save(final Map<String, byte[]> changes, final Consumer<Boolean> done) {
+            if (delayingLoop == null) {
+                sync(changes, done);
             } else {
-                slow.schedule(50, () -> sync(some, done));
+                delayingLoop.schedule(50, () -> sync(changes, done));
             }
         }
 
-        void sync(final Map<String, byte[]> some, final Consumer<Boolean> done) {
-            some.forEach((k, v) -> {
-                if (v == null) {
-                    rows.remove(k);
+        void sync(final Map<String, byte[]> changes, final Consumer<Boolean> done) {
+            changes.forEach((key, value) -> {
+                if (value == null) {
+                    rows.remove(key);
                 } else {
-                    rows.put(k, v);
+                    rows.put(key, value);
                 }
             });
             done.accept(true);
         }
     }
 
-    final Transport transport = (recipient, msg, wait, then) -> {
-        asked.add(msg);
-        final boolean[] over = {false};
-        loop.schedule(wait, () -> {
-            if (!over[0]) {
-                over[0] = true;
+    final Transport transport = (recipient, request, timeoutMs, then) -> {
+        requests.add(request);
+        final boolean[] completed = {false};
+        loop.schedule(timeoutMs, () -> {
+            if (!completed[0]) {
+                completed[0] = true;
                 then.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
             }
         });
-        answer(recipient, msg, m -> {
-            final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, m)).length;
-            bytes.merge(recipient, size, Long::sum);
-            largest = Math.max(largest, size);
-            final long ms = delay.apply(recipient, msg);
+        respond(recipient, request, response -> {
+            final long size = MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, response)).length;
+            responseBytes.merge(recipient, size, Long::sum);
+            largestResponse = Math.max(largestResponse, size);
+            final long ms = responseDelayMs.apply(recipient, request);
             if (ms >= 0) {
                 loop.schedule(ms, () -> {
-                    if (!over[0]) {
-                        over[0] = true;
-                        then.accept(Reply.of(m));
+                    if (!completed[0]) {
+                        completed[0] = true;
+                        then.accept(Reply.of(response));
                     }
                 });
             }
         });
     };
 
-    void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
-        final KeyedRecordStore k = keepers.get(recipient);
-        if (k != null && msg instanceof RecordChecksumsRequest m) {
-            k.onChecksumsRequest(m, back);
-        } else if (k != null && msg instanceof RecordPageRequest m) {
-            k.onPageRequest(m, back);
+    void respond(final NodeId recipient, final Message request, final Consumer<Message> callback) {
+        final KeyedRecordStore store = replicas.get(recipient);
+        if (store != null && request instanceof RecordChecksumsRequest m) {
+            store.onChecksumsRequest(m, callback);
+        } else if (store != null && request instanceof RecordPageRequest m) {
+            store.onPageRequest(m, callback);
         }
     }
 
-    KeyedRecordStore keeper(final NodeId id, final Rows disk, final boolean lost) throws Exception {
-        final KeyedRecordStore k = new KeyedRecordStore(
+    KeyedRecordStore replica(final NodeId id, final MemoryStorage storage, final boolean recordsLost) throws Exception {
+        final KeyedRecordStore store = new KeyedRecordStore(
                 id,
-                "b" + keepers.size(),
+                "b" + replicas.size(),
                 VotingConfiguration.of(quorum),
                 transport,
                 loop,
                 loop::now,
-                new MonitoredStorage(disk, loop),
+                new MonitoredStorage(storage, loop),
                 journal,
                 retention);
-        keepers.put(id, k);
-        k.start();
-        if (lost) {
-            disk.save(k.markIncomplete(), ok -> {});
+        replicas.put(id, store);
+        store.start();
+        if (recordsLost) {
+            storage.save(store.markIncomplete(), ok -> {});
         }
-        return k;
+        return store;
     }
 
-    static KeyedRecord note(final String key, final int body) {
-        final KeyedOutcome outcome = body < 0 ? null : new KeyedOutcome(200, Map.of("a", "b"), new byte[body], true);
+    static KeyedRecord record(final String key, final int bodyBytes) {
+        final KeyedOutcome outcome =
+                bodyBytes < 0 ? null : new KeyedOutcome(200, Map.of("a", "b"), new byte[bodyBytes], true);
         return new KeyedRecord(key, 3, TOKEN, "d".repeat(64), 7, false, outcome);
     }
 
-    static RecordReadRequest first(final FencingToken token, final String boot) {
+    static RecordReadRequest firstPage(final FencingToken token, final String boot) {
         return new RecordReadRequest(0, 3, token, boot, true, null, 0);
     }
 
-    static RecordReadResponse read(final KeyedRecordStore k, final RecordReadRequest ask) {
-        final List<Message> got = new ArrayList<>();
-        k.onRead(ask, got::add);
-        return (RecordReadResponse) got.get(0);
+    static RecordReadResponse read(final KeyedRecordStore store, final RecordReadRequest request) {
+        final List<Message> responses = new ArrayList<>();
+        store.onRead(request, responses::add);
+        return (RecordReadResponse) responses.get(0);
     }
 
-    static void fill(final KeyedRecordStore k, final int from, final int to, final int body) {
-        final long era = read(k, first(TOKEN, "w")).era();
+    static void fill(final KeyedRecordStore store, final int from, final int to, final int bodyBytes) {
+        final long era = read(store, firstPage(TOKEN, "w")).era();
         for (int i = from; i < to; i++) {
-            k.onWrite(new RecordWriteRequest(0, note("route|service|key-" + i, body), era), m -> {});
+            store.onWrite(new RecordWriteRequest(0, record("route|service|key-" + i, bodyBytes), era), m -> {});
         }
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/record/RecordCopyTest.java
+++ b/control/src/test/java/org/rowanvalve/control/record/RecordCopyTest.java
@@ -19,163 +19,175 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.runtime.Transport;
 
-/** The copying of a lost memory from the other keepers. */
+/** A replica that lost its records copies them from the other replicas. */
 class RecordCopyTest extends KeyedRecordFixture {
     @Test
-    void aLostMemoryIsCopiedOnceFromOneKeeperAndComparedWithTheOther() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 1000, 700);
-        fill(keeper(C, new Rows(), false), 0, 1000, 700);
-        final KeyedRecordStore k = keeper(A, new Rows(), true);
-        assertTrue(k.isIncomplete());
+    void lostRecordsAreCopiedOnceFromOneReplicaAndComparedWithTheOther() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 1000, 700);
+        fill(replica(C, new MemoryStorage(), false), 0, 1000, 700);
+        final KeyedRecordStore store = replica(A, new MemoryStorage(), true);
+        assertTrue(store.isIncomplete());
         loop.run(10_000);
-        assertFalse(k.isIncomplete());
-        assertEquals(1000, k.size());
-        final long fat = bytes.values().stream().mapToLong(b -> b).max().orElseThrow();
-        final long thin = bytes.values().stream().mapToLong(b -> b).min().orElseThrow();
-        assertTrue(fat > 700_000 && fat < 1_300_000, "copied " + fat);
-        assertTrue(thin < 20_000, "compared " + thin);
-        assertTrue(largest <= 52_000, "largest answer " + largest);
+        assertFalse(store.isIncomplete());
+        assertEquals(1000, store.size());
+        final long copiedBytes =
+                responseBytes.values().stream().mapToLong(b -> b).max().orElseThrow();
+        final long comparedBytes =
+                responseBytes.values().stream().mapToLong(b -> b).min().orElseThrow();
+        assertTrue(copiedBytes > 700_000 && copiedBytes < 1_300_000, "bytes copied: " + copiedBytes);
+        assertTrue(comparedBytes < 20_000, "bytes compared: " + comparedBytes);
+        assertTrue(largestResponse <= 52_000, "largest response: " + largestResponse);
     }
 
-    /** What only one of the others has is taken too: it may stand at that one and at the lost memory. */
+    /** A record that only one replica holds is copied as well: its majority may have been that one and the lost one. */
     @Test
-    void whatEitherKeeperHoldsIsTaken() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 300, 10);
-        fill(keeper(C, new Rows(), false), 200, 500, 10);
-        final KeyedRecordStore k = keeper(A, new Rows(), true);
+    void recordsHeldByOnlyOneReplicaAreCopied() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 300, 10);
+        fill(replica(C, new MemoryStorage(), false), 200, 500, 10);
+        final KeyedRecordStore store = replica(A, new MemoryStorage(), true);
         loop.run(10_000);
-        assertFalse(k.isIncomplete());
-        assertEquals(500, k.size());
+        assertFalse(store.isIncomplete());
+        assertEquals(500, store.size());
     }
 
-    /** Late pages are asked again, and not those that came; the era of each source ends once, however often it is asked. */
+    /**
+     * Only pages that were lost are requested again. Each source ends its era once, however often that is requested.
+     */
     @Test
-    void lostPagesAreAskedAgainAndNothingElse() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 1000, 700);
-        fill(keeper(C, new Rows(), false), 0, 1000, 700);
-        final long before = read(keepers.get(B), first(TOKEN, "w")).era();
-        final int[] n = {0};
-        delay = (id, m) -> n[0]++ % 3 == 0 ? -1L : 35L;
-        final KeyedRecordStore k = keeper(A, new Rows(), true);
+    void onlyLostPagesAreRequestedAgain() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 1000, 700);
+        fill(replica(C, new MemoryStorage(), false), 0, 1000, 700);
+        final long eraBefore = read(replicas.get(B), firstPage(TOKEN, "w")).era();
+        final int[] responseCount = {0};
+        responseDelayMs = (id, m) -> responseCount[0]++ % 3 == 0 ? -1L : 35L;
+        final KeyedRecordStore store = replica(A, new MemoryStorage(), true);
         loop.run(60_000);
-        assertFalse(k.isIncomplete());
-        assertEquals(1000, k.size());
-        final long all = bytes.values().stream().mapToLong(b -> b).sum();
-        assertTrue(all < 1_900_000, "with a third lost: " + all);
-        final long after = read(keepers.get(B), first(TOKEN, "w")).era();
-        assertNotEquals(before, after);
-        final long mixed = before ^ after;
-        assertEquals(Long.highestOneBit(mixed) * 2 - 1, mixed, "one step of the era: " + mixed);
+        assertFalse(store.isIncomplete());
+        assertEquals(1000, store.size());
+        final long totalBytes =
+                responseBytes.values().stream().mapToLong(b -> b).sum();
+        assertTrue(totalBytes < 1_900_000, "with a third of the responses lost: " + totalBytes);
+        final long eraAfter = read(replicas.get(B), firstPage(TOKEN, "w")).era();
+        assertNotEquals(eraBefore, eraAfter);
+        final long changedBits = eraBefore ^ eraAfter;
+        assertEquals(Long.highestOneBit(changedBits) * 2 - 1, changedBits, "the era advances by one: " + changedBits);
     }
 
-    /** The copy goes on with another keeper while one does not answer, and ends when that one has answered the sums. */
+    /** While one replica is slow, the copy continues with another; it ends once the slow one has sent its checksums. */
     @Test
-    void aSlowKeeperHoldsUpOnlyItsOwnPages() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 1000, 700);
-        fill(keeper(C, new Rows(), false), 0, 1000, 700);
-        delay = (id, m) -> id.equals(B) ? 3000L : 5L;
-        final KeyedRecordStore k = keeper(A, new Rows(), true);
+    void aSlowReplicaDelaysOnlyItsOwnPages() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 1000, 700);
+        fill(replica(C, new MemoryStorage(), false), 0, 1000, 700);
+        responseDelayMs = (id, m) -> id.equals(B) ? 3000L : 5L;
+        final KeyedRecordStore store = replica(A, new MemoryStorage(), true);
         loop.run(16_000);
-        assertFalse(k.isIncomplete(), "in 16 s, though every answer of one keeper takes 3 s");
-        assertEquals(1000, k.size());
-        assertTrue(bytes.get(B) < 60_000, "from the slow one " + bytes.get(B));
+        assertFalse(store.isIncomplete(), "complete in 16 s, although each response of one replica takes 3 s");
+        assertEquals(1000, store.size());
+        assertTrue(responseBytes.get(B) < 60_000, "bytes from the slow replica: " + responseBytes.get(B));
     }
 
-    /** A process that ends in the middle of it goes on where it was, since each page is on disk. */
+    /** A process that is restarted during a copy continues with the missing records, since each page is on disk. */
     @Test
-    void aCopyGoesOnAfterARestart() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 1000, 700);
-        fill(keeper(C, new Rows(), false), 0, 1000, 700);
-        delay = (id, m) -> 100L;
-        final Rows disk = new Rows();
-        final KeyedRecordStore first = keeper(A, disk, true);
+    void aCopyContinuesAfterARestart() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 1000, 700);
+        fill(replica(C, new MemoryStorage(), false), 0, 1000, 700);
+        responseDelayMs = (id, m) -> 100L;
+        final MemoryStorage storage = new MemoryStorage();
+        final KeyedRecordStore first = replica(A, storage, true);
         loop.run(700);
-        final int had = first.size();
-        assertTrue(had > 300 && had < 1000, "had " + had);
+        final int copiedBefore = first.size();
+        assertTrue(copiedBefore > 300 && copiedBefore < 1000, "copied " + copiedBefore);
         assertTrue(first.isIncomplete());
-        final KeyedRecordStore second = keeper(A, disk, false);
-        assertTrue(second.isIncomplete(), "the disk says that the memory is not whole");
-        assertEquals(had, second.size());
+        final KeyedRecordStore second = replica(A, storage, false);
+        assertTrue(second.isIncomplete(), "the incomplete mark is on disk");
+        assertEquals(copiedBefore, second.size());
         loop.run(10_000);
         assertFalse(second.isIncomplete());
         assertEquals(1000, second.size());
     }
 
-    /** Rows that were saved while the end of the lapse was on its way to a slow disk brought it back after a restart. */
+    /**
+     * Guards against the return of the incomplete mark after a restart. This happened when rows were saved with the
+     * mark while its removal was still being written to a slow disk.
+     */
     @Test
-    void aLapseThatHasEndedDoesNotComeBackWithARestart() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 100, 10);
-        fill(keeper(C, new Rows(), false), 0, 100, 10);
-        final Rows disk = new Rows();
-        disk.slow = loop;
-        final KeyedRecordStore k = keeper(A, disk, true);
+    void aRemovedIncompleteMarkDoesNotReturnAfterARestart() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 100, 10);
+        fill(replica(C, new MemoryStorage(), false), 0, 100, 10);
+        final MemoryStorage storage = new MemoryStorage();
+        storage.delayingLoop = loop;
+        final KeyedRecordStore store = replica(A, storage, true);
         final long[] era = {0};
-        k.onRead(first(TOKEN, "w"), m -> era[0] = ((RecordReadResponse) m).era());
+        store.onRead(firstPage(TOKEN, "w"), m -> era[0] = ((RecordReadResponse) m).era());
         for (int i = 0; i < 60; i++) {
-            final KeyedRecord note = note("more-" + i, 10);
-            loop.schedule(i * 5L, () -> k.onWrite(new RecordWriteRequest(0, note, era[0]), m -> {}));
+            final KeyedRecord record = record("more-" + i, 10);
+            loop.schedule(i * 5L, () -> store.onWrite(new RecordWriteRequest(0, record, era[0]), m -> {}));
         }
         loop.run(2000);
-        assertFalse(k.isIncomplete());
-        final KeyedRecordStore again = keeper(A, disk, false);
-        assertFalse(again.isIncomplete(), "it ended and that was synced");
-        assertEquals(k.size(), again.size());
+        assertFalse(store.isIncomplete());
+        final KeyedRecordStore restarted = replica(A, storage, false);
+        assertFalse(restarted.isIncomplete(), "the removal of the mark was synced");
+        assertEquals(store.size(), restarted.size());
     }
 
-    /** One without memory yields nothing; as long as too few others have theirs the lapse goes on, for the retention. */
+    /**
+     * With too few complete sources, replicas that lost their records stay incomplete until the retention has passed.
+     */
     @Test
-    void twoWithoutMemoryWaitAndEndWhenOneMoreComes() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 100, 10);
-        final KeyedRecordStore a = keeper(A, new Rows(), true);
-        final KeyedRecordStore c = keeper(C, new Rows(), true);
+    void twoReplicasWithoutRecordsStayIncompleteForTheRetention() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 100, 10);
+        final KeyedRecordStore a = replica(A, new MemoryStorage(), true);
+        final KeyedRecordStore c = replica(C, new MemoryStorage(), true);
         loop.run(20_000);
         assertTrue(a.isIncomplete() && c.isIncomplete());
-        assertTrue(asked.size() < 120, "asked " + asked.size());
+        assertTrue(requests.size() < 120, "requests: " + requests.size());
         loop.run(retention.retentionMs());
         assertFalse(a.isIncomplete() || c.isIncomplete());
     }
 
     @Test
-    void aPageWithAWrongSumIsNotTakenAndIsAskedAgain() throws Exception {
-        fill(keeper(B, new Rows(), false), 0, 10, 10);
-        fill(keeper(C, new Rows(), false), 0, 10, 10);
-        final int[] bad = {2};
+    void aPageWithAWrongChecksumIsDiscardedAndRequestedAgain() throws Exception {
+        fill(replica(B, new MemoryStorage(), false), 0, 10, 10);
+        fill(replica(C, new MemoryStorage(), false), 0, 10, 10);
+        final int[] remainingForgeries = {2};
         final KeyedRecordTable table = new KeyedRecordTable();
-        final List<String> ends = new ArrayList<>();
-        final Transport forging = (recipient, msg, wait, then) -> transport.request(recipient, msg, wait, reply -> {
-            final RecordPageResponse page = reply.as(RecordPageResponse.class).orElse(null);
-            then.accept(
-                    page != null && bad[0]-- > 0
-                            ? Reply.of(
-                                    new RecordPageResponse(true, page.records(), page.checksum() ^ 1, page.nextKey()))
-                            : reply);
-        });
+        final List<String> completions = new ArrayList<>();
+        final Transport forgingTransport =
+                (recipient, request, timeoutMs, then) -> transport.request(recipient, request, timeoutMs, reply -> {
+                    final RecordPageResponse page =
+                            reply.as(RecordPageResponse.class).orElse(null);
+                    then.accept(
+                            page != null && remainingForgeries[0]-- > 0
+                                    ? Reply.of(new RecordPageResponse(
+                                            true, page.records(), page.checksum() ^ 1, page.nextKey()))
+                                    : reply);
+                });
         final RecordCopy copy = new RecordCopy(
                 loop,
-                forging,
+                forgingTransport,
                 journal,
                 table,
                 0,
                 "a/1",
                 true,
-                (copied, bare) -> copied.size() == 2,
+                (copied, withoutRecords) -> copied.size() == 2,
                 new RecordCopy.Sink() {
                     @Override
-                    public void tokenFloors(final Map<Integer, FencingToken> bars) {}
+                    public void tokenFloors(final Map<Integer, FencingToken> floors) {}
 
                     @Override
-                    public void records(final List<AgedRecord> notes) {
-                        notes.forEach(n -> table.put(new KeyedRecordTable.Row(n.keyedRecord(), 0, n.retentionMs())));
+                    public void records(final List<AgedRecord> records) {
+                        records.forEach(n -> table.put(new KeyedRecordTable.Row(n.keyedRecord(), 0, n.retentionMs())));
                     }
 
                     @Override
                     public void onComplete() {
-                        ends.add("done");
+                        completions.add("done");
                     }
                 });
         copy.start(List.of(B, C));
         loop.run(10_000);
-        assertEquals(List.of("done"), ends);
+        assertEquals(List.of("done"), completions);
         assertEquals(10, table.size());
         assertEquals(
                 2,
--- a/control/src/test/java/org/rowanvalve/control/store/ItemDigestTest.java
+++ b/control/src/test/java/org/rowanvalve/control/store/ItemDigestTest.java
@@ -16,7 +16,7 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.common.model.Version;
 
-/** Buckets of the digest at every number that nodes may agree on. */
+/** The buckets of the digest, for every bucket count that nodes may use. */
 class ItemDigestTest {
     private static ItemId id(final int number) {
         return new ItemId(ItemKind.ROUTE, "r" + number);
@@ -34,10 +34,10 @@
         return digest;
     }
 
-    /** Guards against a change that is looked for in another bucket than the one it is in. */
+    /** Guards against a search for a changed item in a bucket that does not contain it. */
     @ParameterizedTest
     @ValueSource(ints = {64, 128, 1024, 4096})
-    void justTheBucketsOfWhatDiffersDiffer(final int buckets) {
+    void onlyTheBucketsOfChangedItemsDiffer(final int buckets) {
         final ItemDigest one = digest(3000);
         final ItemDigest other = digest(3000);
         assertEquals(List.of(), one.differingBuckets(other.bucketSums(buckets)));
@@ -50,16 +50,16 @@
     }
 
     @Test
-    void theNumberOfBucketsFollowsTheItems() {
+    void bucketCountGrowsWithTheNumberOfItems() {
         assertEquals(64, ItemDigest.bucketCount(0));
         assertEquals(64, ItemDigest.bucketCount(512));
         assertEquals(128, ItemDigest.bucketCount(513));
         assertEquals(4096, ItemDigest.bucketCount(1_000_000));
     }
 
-    /** Guards against a number from another node that no array can have. */
+    /** Guards against a bucket count of another node that is not a valid array size here. */
     @Test
-    void anOddNumberOfBucketsIsNotTaken() {
+    void unsupportedBucketCountsAreReplacedByTheSmallest() {
         for (final int buckets : new int[] {-64, 0, 1, 32, 63, 65, 96, 8192, Integer.MAX_VALUE}) {
             assertFalse(ItemDigest.isBucketCount(buckets), buckets + " buckets");
             assertEquals(ItemDigest.BUCKETS, ItemDigest.bucketCount(Integer.valueOf(buckets)));
@@ -67,9 +67,9 @@
         assertEquals(ItemDigest.BUCKETS, ItemDigest.bucketCount((Integer) null));
     }
 
-    /** Guards against items that the index has lost or holds too long. */
+    /** Guards against items that are missing from the index or remain in it after their removal. */
     @Test
-    void theIndexGivesJustTheItemsOfItsBuckets() {
+    void theIndexReturnsExactlyTheItemsOfTheGivenBuckets() {
         final ItemIndex index = new ItemIndex();
         final Set<ItemId> present = new HashSet<>();
         final Random random = new Random(4);
@@ -85,11 +85,11 @@
         }
         for (int buckets = ItemDigest.BUCKETS; buckets <= ItemDigest.MAX_BUCKETS; buckets *= 2) {
             final int count = buckets;
-            final Set<Integer> asked = Set.of(3, 17, buckets - 1);
+            final Set<Integer> requestedBuckets = Set.of(3, 17, buckets - 1);
             final Set<ItemId> found = new HashSet<>();
-            index.forEach(asked, count, found::add);
+            index.forEach(requestedBuckets, count, found::add);
             final Set<ItemId> expected = new HashSet<>(present);
-            expected.removeIf(id -> !asked.contains(ItemDigest.bucket(id, count)));
+            expected.removeIf(id -> !requestedBuckets.contains(ItemDigest.bucket(id, count)));
             assertEquals(expected, found, count + " buckets");
         }
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
@@ -41,9 +41,9 @@
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.testkit.sim.VirtualTime;
 
-/** The holder's side of the lease rules, on virtual time with an authority played by hand. */
+/** The rules of leases at their holder, on virtual time with a simulated leader. */
 class LeaseHolderTest {
-    private static final NodeId BOSS = NodeId.of("st1");
+    private static final NodeId LEADER = NodeId.of("st1");
     private final VirtualTime time = new VirtualTime(1);
     private final EventLoop loop = time.loop();
     private final List<Consumer<Reply>> renewals = new ArrayList<>();
@@ -51,29 +51,29 @@
     private final List<String> stops = new ArrayList<>();
     private final EventJournal journal = new EventJournal(loop, 500);
     private LeaseHolder leases;
-    private long stopTakes;
+    private long stopDurationMs;
 
     @BeforeEach
     void begin() {
         final ItemStore items = new ItemStore(loop, journal);
-        final Transport transport = (recipient, msg, wait, then) -> {
-            if (msg instanceof LeaseRenewRequest) {
-                final boolean[] over = {false};
+        final Transport transport = (recipient, request, timeoutMs, callback) -> {
+            if (request instanceof LeaseRenewRequest) {
+                final boolean[] completed = {false};
                 final Consumer<Reply> once = reply -> {
-                    if (!over[0]) {
-                        over[0] = true;
-                        then.accept(reply);
+                    if (!completed[0]) {
+                        completed[0] = true;
+                        callback.accept(reply);
                     }
                 };
                 renewals.add(once);
                 sent.add(time.now());
-                time.in(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
+                time.in(timeoutMs, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
             }
         };
         leases = new LeaseHolder(
                 loop, transport, items, LeaseTimings.DEFAULT, journal, () -> true, List::of, (shard, grace, done) -> {
                     stops.add(shard + "@" + time.now());
-                    time.in(stopTakes, () -> done.accept(true));
+                    time.in(stopDurationMs, () -> done.accept(true));
                 });
         leases.start();
         items.merge(new ChosenItem(
@@ -82,20 +82,20 @@
                         .successor(Json.write(new Leadership("st1", "b", 1, 1, false, 0, 0, 0)), "t")));
         time.run(100);
         leases.onGrant(
-                BOSS,
+                LEADER,
                 new LeaseGrantRequest(1, 1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED))),
                 m -> {});
     }
 
-    private void answer(final int n) {
-        renewals.get(n)
+    private void answer(final int index) {
+        renewals.get(index)
                 .accept(Reply.of(new LeaseRenewResponse(
                         1, true, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED)), List.of())));
     }
 
     @Test
-    void aNewGrantIsUncertainUntilItsRenewIsAnswered() {
-        assertEquals(1, renewals.size(), "the grant makes the holder renew at once");
+    void aNewGrantIsUncertainUntilARenewalIsAnswered() {
+        assertEquals(1, renewals.size(), "the holder renews a granted lease immediately");
         assertFalse(leases.mayFill(3));
         assertEquals(LeaseState.UNCERTAIN, leases.leases().get(3).state());
         answer(0);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void anUnansweredRenewalMakesItUncertainAndNoFillStarts() {
+    void anUnansweredRenewalMakesTheLeaseUncertainAndPreventsFills() {
         answer(0);
         time.run(1100);
         assertEquals(2, renewals.size());
@@ -123,13 +123,13 @@
         time.run(1900);
         assertEquals(LeaseState.UNCERTAIN, leases.leases().get(3).state());
         assertFalse(leases.mayFill(3));
-        assertTrue(leases.mayServe(3), "what is cached is still served");
+        assertTrue(leases.mayServe(3), "cached responses are still served");
         answer(renewals.size() - 1);
         assertTrue(leases.mayFill(3));
     }
 
     @Test
-    void anAnswerThatComesAfterItsOwnValidityGivesNothing() {
+    void aRenewalAnsweredAfterTheEndOfItsValidityIsIgnored() {
         time.run(100 + 450);
         final int first = renewals.size();
         time.run(2300);
@@ -139,34 +139,34 @@
     }
 
     @Test
-    void aLowerTokenIsRejectedAndARevokedOneIsNotTakenUpAgain() {
+    void grantsWithALowerOrRevokedTokenAreRejected() {
         answer(0);
         leases.onGrant(
-                BOSS,
+                LEADER,
                 new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.GRANTED))),
                 m -> {});
         assertFalse(leases.mayFill(3), "a higher token is a new grant");
         leases.onGrant(
-                BOSS,
+                LEADER,
                 new LeaseGrantRequest(1, 2, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.GRANTED))),
                 m -> {});
         assertEquals(new FencingToken(1, 2), leases.token(3));
         assertTrue(journal.recent().stream().anyMatch(entry -> entry.event().code() == EventCode.GRANT_REJECTED));
         leases.onRevoke(
-                BOSS,
+                LEADER,
                 new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.REVOKED))),
                 m -> {});
         time.run(time.now() + 10);
         leases.onGrant(
-                BOSS,
+                LEADER,
                 new LeaseGrantRequest(1, 3, List.of(new ShardLease(3, new FencingToken(1, 2), LeaseState.GRANTED))),
                 m -> {});
         assertEquals(LeaseState.REVOKED, leases.leases().get(3).state());
     }
 
-    /** The right is looked at when the request leaves, not when it came. */
+    /** The lease is checked when the request is sent, not only when it arrives. */
     @Test
-    void aSendThatWaitedForItsPaceDoesNotLeaveWithoutTheRight() {
+    void aRequestDelayedByTheRateLimitIsNotSentAfterARevocation() {
         answer(0);
         final ItemStore items = new ItemStore(loop, journal);
         final org.rowanvalve.control.config.ConfigurationView configuration =
@@ -182,7 +182,7 @@
                                 Json.write(new org.rowanvalve.control.config.Origin(
                                         "s", "h", 1, "b", ServiceKind.CONTENT, 0, 60_000, false, 1)),
                                 "t")));
-        final List<String> sent = new ArrayList<>();
+        final List<String> sentPaths = new ArrayList<>();
         final org.rowanvalve.data.settings.NodeSettings settings = org.rowanvalve.data.settings.NodeSettings.builderFor(
                         new org.rowanvalve.common.model.Member(
                                 NodeId.of("sh1"),
@@ -197,9 +197,9 @@
         final org.rowanvalve.data.origin.OriginDispatcher dispatcher = new org.rowanvalve.data.origin.OriginDispatcher(
                 settings,
                 loop,
-                (recipient, msg, wait, then) -> {},
-                (origin, request, gate, then) -> {
-                    sent.add(request.path());
+                (recipient, request, timeoutMs, callback) -> {},
+                (origin, request, gate, callback) -> {
+                    sentPaths.add(request.path());
                     return () -> {};
                 },
                 configuration,
@@ -207,7 +207,7 @@
                 new org.rowanvalve.data.origin.OriginDispatcher.Surroundings(
                         () -> true, () -> false, List::of, () -> 1),
                 journal);
-        final List<org.rowanvalve.data.origin.OriginDispatcher.Completion> ends = new ArrayList<>();
+        final List<org.rowanvalve.data.origin.OriginDispatcher.Completion> completions = new ArrayList<>();
         for (final String path : List.of("/1", "/2")) {
             dispatcher.send(
                     new org.rowanvalve.data.origin.OriginRequest(
@@ -216,35 +216,36 @@
                                     "s", "GET", path, "", null, null, "", 0),
                             false,
                             time.now() + 2000),
-                    ends::add);
+                    completions::add);
         }
         time.run(time.now() + 260);
-        assertEquals(List.of("/1"), sent);
+        assertEquals(List.of("/1"), sentPaths);
         leases.onRevoke(
-                BOSS,
+                LEADER,
                 new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.REVOKED))),
                 m -> {});
         time.run(time.now() + 1000);
-        assertEquals(List.of("/1"), sent);
-        assertEquals("no held right to send", ends.get(0).response().reason());
-        assertFalse(ends.get(0).mayHaveRun());
+        assertEquals(List.of("/1"), sentPaths);
+        assertEquals("no held right to send", completions.get(0).response().reason());
+        assertFalse(completions.get(0).mayHaveRun());
     }
 
-    private org.rowanvalve.data.keyed.KeyedRequests once(final int writers, final List<KeyedRecord> known) {
-        final List<NodeId> keepers = List.of(BOSS, NodeId.of("st2"), NodeId.of("sh1"));
-        final Transport transport = (recipient, msg, wait, then) -> time.in(1, () -> {
-            if (msg instanceof RecordReadRequest r) {
-                then.accept(Reply.of(new RecordReadResponse(true, false, r.token(), known, 7, null)));
-            } else if (msg instanceof RecordWriteRequest w) {
-                final boolean now = w.era() == 7;
-                then.accept(
-                        keepers.indexOf(recipient) < writers
-                                ? Reply.of(new RecordWriteResponse(now, false, !now))
+    private org.rowanvalve.data.keyed.KeyedRequests keyedRequests(
+            final int respondingReplicas, final List<KeyedRecord> known) {
+        final List<NodeId> replicas = List.of(LEADER, NodeId.of("st2"), NodeId.of("sh1"));
+        final Transport transport = (recipient, request, timeoutMs, callback) -> time.in(1, () -> {
+            if (request instanceof RecordReadRequest read) {
+                callback.accept(Reply.of(new RecordReadResponse(true, false, read.token(), known, 7, null)));
+            } else if (request instanceof RecordWriteRequest write) {
+                final boolean sameEra = write.era() == 7;
+                callback.accept(
+                        replicas.indexOf(recipient) < respondingReplicas
+                                ? Reply.of(new RecordWriteResponse(sameEra, false, !sameEra))
                                 : Reply.failed(Reply.Failure.NO_RESPONSE));
             }
         });
         final org.rowanvalve.control.voting.Quorum quorum =
-                new org.rowanvalve.control.voting.Quorum(keepers, java.util.Set.of(BOSS, keepers.get(1)));
+                new org.rowanvalve.control.voting.Quorum(replicas, java.util.Set.of(LEADER, replicas.get(1)));
         return new org.rowanvalve.data.keyed.KeyedRequests(
                 org.rowanvalve.control.voting.VotingConfiguration.of(quorum),
                 loop,
@@ -256,39 +257,39 @@
                 new org.rowanvalve.control.record.RecordRetention(60_000, () -> 0));
     }
 
-    private List<String> keyed(final int writers, final List<KeyedRecord> known, final int times) {
+    private List<String> keyed(final int respondingReplicas, final List<KeyedRecord> known, final int attempts) {
         answer(0);
-        final org.rowanvalve.data.keyed.KeyedRequests once = once(writers, known);
-        final List<String> seen = new ArrayList<>();
-        for (int i = 0; i < times; i++) {
-            once.handle(
+        final org.rowanvalve.data.keyed.KeyedRequests keyedRequests = keyedRequests(respondingReplicas, known);
+        final List<String> events = new ArrayList<>();
+        for (int i = 0; i < attempts; i++) {
+            keyedRequests.handle(
                     3,
                     "k",
                     "d",
                     1000,
                     org.rowanvalve.data.cancel.Cancellation.NEVER,
-                    then -> {
-                        seen.add("sent");
-                        then.accept(new org.rowanvalve.data.origin.OriginDispatcher.Completion(
+                    callback -> {
+                        events.add("sent");
+                        callback.accept(new org.rowanvalve.data.origin.OriginDispatcher.Completion(
                                 org.rowanvalve.data.origin.OriginTransport.OriginResponse.without(
                                         org.rowanvalve.data.origin.OriginTransport.ExchangeResult.LOST, "lost"),
                                 true,
                                 0,
                                 0));
                     },
-                    f -> seen.add(f.fate().code()));
+                    response -> events.add(response.fate().code()));
             time.run(time.now() + 100);
         }
-        return seen;
+        return events;
     }
 
     @Test
-    void nothingIsSentUnlessTheIntentStandsAtAMajority() {
+    void nothingIsSentUnlessAMajorityStoresTheIntent() {
         assertEquals(List.of("refused"), keyed(1, List.of(), 1));
     }
 
     @Test
-    void aLostAnswerIsUnknownAndTheKeyIsNotSentAgain() {
+    void aLostResponseIsUnknownAndTheKeyIsNotSentAgain() {
         assertEquals(List.of("sent", "unknown", "unknown"), keyed(2, List.of(), 2));
     }
 
@@ -302,16 +303,16 @@
     @Test
     void fourHoldersSharesAddUpToTheRateInEveryWindow() {
         final List<Long> sent = new ArrayList<>();
-        final org.rowanvalve.data.limit.RateLimiter[] all = {
+        final org.rowanvalve.data.limit.RateLimiter[] limiters = {
             new org.rowanvalve.data.limit.RateLimiter(),
             new org.rowanvalve.data.limit.RateLimiter(),
             new org.rowanvalve.data.limit.RateLimiter(),
             new org.rowanvalve.data.limit.RateLimiter()
         };
         for (long t = 0; t < 20_000; t += 5) {
-            for (final org.rowanvalve.data.limit.RateLimiter p : all) {
-                final java.util.OptionalLong rest = p.take("o", 40, 0.25, 1, t, 0);
-                if (rest.isPresent()) {
+            for (final org.rowanvalve.data.limit.RateLimiter limiter : limiters) {
+                final java.util.OptionalLong permit = limiter.take("o", 40, 0.25, 1, t, 0);
+                if (permit.isPresent()) {
                     sent.add(t);
                 }
             }
@@ -319,23 +320,23 @@
         for (final long end : sent) {
             assertTrue(sent.stream().filter(t -> t > end - 5000 && t <= end).count() <= 220, "window up to " + end);
         }
-        assertTrue(sent.size() > 700, "and the rate is used: " + sent.size());
+        assertTrue(sent.size() > 700, "the rate is used: " + sent.size());
     }
 
     @Test
-    void aRevokeIsAnsweredOnlyOnceTheStopIsDone() {
+    void aRevocationIsAnsweredOnlyAfterTheFillsHaveStopped() {
         answer(0);
-        stopTakes = 300;
-        final List<Message> back = new ArrayList<>();
+        stopDurationMs = 300;
+        final List<Message> responses = new ArrayList<>();
         final long from = time.now();
         leases.onRevoke(
-                BOSS,
+                LEADER,
                 new LeaseRevokeRequest(1, List.of(new ShardLease(3, new FencingToken(1, 1), LeaseState.REVOKED))),
-                back::add);
+                responses::add);
         assertFalse(leases.mayFill(3));
         time.run(from + 299);
-        assertEquals(List.of(), back);
+        assertEquals(List.of(), responses);
         time.run(from + 300);
-        assertEquals(List.of(new LeaseRevokeResponse(true, List.of(3))), back);
+        assertEquals(List.of(new LeaseRevokeResponse(true, List.of(3))), responses);
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/RecordKeeperTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RecordKeeperTest.java
@@ -31,15 +31,15 @@
 import org.rowanvalve.control.record.KeyedRecordStore;
 import org.rowanvalve.testkit.sim.VirtualTime;
 
-/** The keepers of intents and outcomes. */
+/** Replicas of the intents and outcomes of keyed requests: eras, token floors and lost records. */
 class RecordKeeperTest {
     private static final org.rowanvalve.control.record.RecordRetention RETENTION =
             new org.rowanvalve.control.record.RecordRetention(60_000, () -> 0);
     private final VirtualTime time = new VirtualTime(1);
     private final EventLoop loop = time.loop();
-    private long ver;
+    private long replicaCount;
 
-    private static final class Rows implements StableStorage {
+    private static final class MemoryStorage implements StableStorage {
         private final Map<String, byte[]> rows = new TreeMap<>();
 
         @Override
@@ -48,17 +48,17 @@
         }
 
         @Override
-        public void save(final Map<String, byte[]> some, final Consumer<Boolean> done) {
-            rows.putAll(some);
+        public void save(final Map<String, byte[]> changes, final Consumer<Boolean> done) {
+            rows.putAll(changes);
             done.accept(true);
         }
     }
 
-    private KeyedRecordStore keeper(final StableStorage storage, final boolean lost) throws Exception {
-        return keeper("st1", storage, lost, (recipient, msg, wait, then) -> {});
+    private KeyedRecordStore replica(final StableStorage storage, final boolean lost) throws Exception {
+        return replica("st1", storage, lost, (recipient, request, timeoutMs, callback) -> {});
     }
 
-    private KeyedRecordStore keeper(
+    private KeyedRecordStore replica(
             final String name,
             final StableStorage storage,
             final boolean lost,
@@ -67,9 +67,9 @@
         final org.rowanvalve.control.voting.Quorum quorum = new org.rowanvalve.control.voting.Quorum(
                 List.of(NodeId.of("st1"), NodeId.of("st2"), NodeId.of("sh1")),
                 java.util.Set.of(NodeId.of("st1"), NodeId.of("st2")));
-        final KeyedRecordStore k = new KeyedRecordStore(
+        final KeyedRecordStore store = new KeyedRecordStore(
                 NodeId.of(name),
-                "b" + ++ver,
+                "b" + ++replicaCount,
                 org.rowanvalve.control.voting.VotingConfiguration.of(quorum),
                 transport,
                 loop,
@@ -77,25 +77,29 @@
                 new org.rowanvalve.control.consensus.MonitoredStorage(storage, loop),
                 new org.rowanvalve.common.event.EventJournal(loop, 50),
                 RETENTION);
-        k.start();
+        store.start();
         if (lost) {
-            storage.save(k.markIncomplete(), ok -> {});
+            storage.save(store.markIncomplete(), ok -> {});
         }
-        return k;
+        return store;
     }
 
-    /** Over a slow way, 600 KB at 0.9 MB a second, a whole minute's notes do not come in one frame's time. */
+    /**
+     * Guards against a copy of all records in one message: over a slow connection, 600 KB at 0.9 MB per second, the
+     * records of a minute do not arrive within the time-out of one message.
+     */
     @Test
-    void aLostMemoryIsRebuiltPageByPageAndEndsEachEraOnce() throws Exception {
+    void lostRecordsAreCopiedInPagesAndEachEraEndsOnce() throws Exception {
         final Map<NodeId, KeyedRecordStore> others = new TreeMap<>();
-        final Map<NodeId, Integer> ends = new TreeMap<>();
+        final Map<NodeId, Integer> eraEnds = new TreeMap<>();
         for (final String n : List.of("st2", "sh1")) {
-            final KeyedRecordStore k = keeper(n, new Rows(), false, (recipient, msg, wait, then) -> {});
-            final List<Message> got = new ArrayList<>();
-            k.onRead(ask(3, new FencingToken(1, 1)), got::add);
-            final long era = ((RecordReadResponse) got.get(0)).era();
+            final KeyedRecordStore store =
+                    replica(n, new MemoryStorage(), false, (recipient, request, timeoutMs, callback) -> {});
+            final List<Message> responses = new ArrayList<>();
+            store.onRead(readRequest(3, new FencingToken(1, 1)), responses::add);
+            final long era = ((RecordReadResponse) responses.get(0)).era();
             for (int i = 0; i < 400; i++) {
-                k.onWrite(
+                store.onWrite(
                         new RecordWriteRequest(
                                 0,
                                 new KeyedRecord(
@@ -107,27 +111,28 @@
                                         false,
                                         new KeyedOutcome(200, Map.of(), new byte[1500], true)),
                                 era),
-                        got::add);
+                        responses::add);
             }
-            others.put(NodeId.of(n), k);
+            others.put(NodeId.of(n), store);
         }
         final int[] largest = {0};
-        final KeyedRecordStore lost = keeper(
+        final KeyedRecordStore lost = replica(
                 "st1",
-                new Rows(),
+                new MemoryStorage(),
                 true,
-                (recipient, msg, wait, then) -> time.in(35, () -> {
-                    ends.merge(recipient, msg instanceof RecordChecksumsRequest a && a.endEra() ? 1 : 0, Integer::sum);
-                    answer(others.get(recipient), msg, m -> {
+                (recipient, request, timeoutMs, callback) -> time.in(35, () -> {
+                    eraEnds.merge(
+                            recipient, request instanceof RecordChecksumsRequest a && a.endEra() ? 1 : 0, Integer::sum);
+                    answer(others.get(recipient), request, m -> {
                         final int size = org.rowanvalve.common.message.MessageCodec.encode(
                                         new org.rowanvalve.common.message.MessageCodec.Frame(1, 1, 0, recipient, m))
                                 .length;
                         largest[0] = Math.max(largest[0], size);
-                        final long took = 70 + size / 900;
+                        final long durationMs = 70 + size / 900;
                         time.in(
-                                took,
-                                () -> then.accept(
-                                        took < wait
+                                durationMs,
+                                () -> callback.accept(
+                                        durationMs < timeoutMs
                                                 ? org.rowanvalve.common.message.Reply.of(m)
                                                 : org.rowanvalve.common.message.Reply.failed(
                                                         org.rowanvalve.common.message.Reply.Failure.NO_RESPONSE)));
@@ -136,109 +141,115 @@
         time.run(4000);
         assertFalse(lost.isIncomplete());
         assertEquals(400, lost.size());
-        assertEquals(Map.of(NodeId.of("st2"), 1, NodeId.of("sh1"), 1), ends);
+        assertEquals(Map.of(NodeId.of("st2"), 1, NodeId.of("sh1"), 1), eraEnds);
         assertTrue(largest[0] < 100_000, "largest frame " + largest[0]);
     }
 
-    private static void answer(final KeyedRecordStore k, final Message msg, final Consumer<Message> back) {
-        if (msg instanceof RecordChecksumsRequest m) {
-            k.onChecksumsRequest(m, back);
+    private static void answer(final KeyedRecordStore store, final Message request, final Consumer<Message> callback) {
+        if (request instanceof RecordChecksumsRequest m) {
+            store.onChecksumsRequest(m, callback);
         } else {
-            k.onPageRequest((RecordPageRequest) msg, back);
+            store.onPageRequest((RecordPageRequest) request, callback);
         }
     }
 
-    private static RecordReadRequest ask(final int shard, final FencingToken token) {
+    private static RecordReadRequest readRequest(final int shard, final FencingToken token) {
         return new RecordReadRequest(0, shard, token, "b", true, null, 0);
     }
 
-    private long era(final KeyedRecordStore k) {
-        final List<Message> got = new ArrayList<>();
-        k.onRead(ask(3, FencingToken.ZERO), x -> {});
-        k.onRead(ask(9, new FencingToken(9, 9)), got::add);
-        return ((RecordReadResponse) got.get(0)).era();
+    private long era(final KeyedRecordStore store) {
+        final List<Message> responses = new ArrayList<>();
+        store.onRead(readRequest(3, FencingToken.ZERO), x -> {});
+        store.onRead(readRequest(9, new FencingToken(9, 9)), responses::add);
+        return ((RecordReadResponse) responses.get(0)).era();
     }
 
     @Test
     void anIntentOfAnEndedEraIsRejected() throws Exception {
-        final KeyedRecordStore k = keeper(new Rows(), false);
-        final long before = era(k);
-        final List<Message> got = new ArrayList<>();
-        final KeyedRecord note = new KeyedRecord("k1", 3, new FencingToken(1, 1), "d", 1, false, null);
-        k.onChecksumsRequest(new RecordChecksumsRequest(0, "st2/b", false), got::add);
-        k.onWrite(new RecordWriteRequest(0, note, before), got::add);
-        k.onChecksumsRequest(new RecordChecksumsRequest(0, "st2/b", true), got::add);
-        k.onWrite(
+        final KeyedRecordStore store = replica(new MemoryStorage(), false);
+        final long before = era(store);
+        final List<Message> responses = new ArrayList<>();
+        final KeyedRecord record = new KeyedRecord("k1", 3, new FencingToken(1, 1), "d", 1, false, null);
+        store.onChecksumsRequest(new RecordChecksumsRequest(0, "st2/b", false), responses::add);
+        store.onWrite(new RecordWriteRequest(0, record, before), responses::add);
+        store.onChecksumsRequest(new RecordChecksumsRequest(0, "st2/b", true), responses::add);
+        store.onWrite(
                 new RecordWriteRequest(
                         0, new KeyedRecord("k2", 3, new FencingToken(1, 1), "d", 1, false, null), before),
-                got::add);
-        assertEquals(new RecordWriteResponse(true, false, false), got.get(1));
-        assertTrue(((RecordChecksumsResponse) got.get(2)).complete());
-        assertEquals(new RecordWriteResponse(false, false, true), got.get(3));
-        final int cells = ((RecordChecksumsResponse) got.get(2)).checksums().size();
-        k.onPageRequest(
-                new RecordPageRequest(0, IntStream.range(0, cells).boxed().toList(), null), got::add);
-        final List<AgedRecord> given = ((RecordPageResponse) got.get(4)).records();
-        assertEquals(List.of(note), given.stream().map(AgedRecord::keyedRecord).toList());
+                responses::add);
+        assertEquals(new RecordWriteResponse(true, false, false), responses.get(1));
+        assertTrue(((RecordChecksumsResponse) responses.get(2)).complete());
+        assertEquals(new RecordWriteResponse(false, false, true), responses.get(3));
+        final int bucketCount =
+                ((RecordChecksumsResponse) responses.get(2)).checksums().size();
+        store.onPageRequest(
+                new RecordPageRequest(0, IntStream.range(0, bucketCount).boxed().toList(), null), responses::add);
+        final List<AgedRecord> records = ((RecordPageResponse) responses.get(4)).records();
+        assertEquals(
+                List.of(record), records.stream().map(AgedRecord::keyedRecord).toList());
     }
 
     @Test
-    void aKeeperBarsTokensBelowTheHighestItWasReadWith() throws Exception {
-        final Rows disk = new Rows();
-        final KeyedRecordStore k = keeper(disk, false);
-        final List<Message> got = new ArrayList<>();
-        final long era = era(k);
-        k.onWrite(
+    void tokensBelowTheHighestReadTokenAreRejected() throws Exception {
+        final MemoryStorage storage = new MemoryStorage();
+        final KeyedRecordStore store = replica(storage, false);
+        final List<Message> responses = new ArrayList<>();
+        final long era = era(store);
+        store.onWrite(
                 new RecordWriteRequest(0, new KeyedRecord("k1", 3, new FencingToken(1, 1), "d", 1, false, null), era),
-                got::add);
-        k.onRead(ask(3, new FencingToken(1, 2)), got::add);
-        k.onWrite(
+                responses::add);
+        store.onRead(readRequest(3, new FencingToken(1, 2)), responses::add);
+        store.onWrite(
                 new RecordWriteRequest(0, new KeyedRecord("k2", 3, new FencingToken(1, 1), "d", 1, false, null), era),
-                got::add);
-        k.onRead(ask(3, new FencingToken(1, 1)), got::add);
-        assertEquals(new RecordWriteResponse(true, false, false), got.get(0));
-        assertEquals(1, ((RecordReadResponse) got.get(1)).records().size());
-        assertEquals(new RecordWriteResponse(false, false, false), got.get(2));
-        assertFalse(((RecordReadResponse) got.get(3)).granted());
-        final KeyedRecordStore again = keeper(disk, false);
-        again.onWrite(
+                responses::add);
+        store.onRead(readRequest(3, new FencingToken(1, 1)), responses::add);
+        assertEquals(new RecordWriteResponse(true, false, false), responses.get(0));
+        assertEquals(1, ((RecordReadResponse) responses.get(1)).records().size());
+        assertEquals(new RecordWriteResponse(false, false, false), responses.get(2));
+        assertFalse(((RecordReadResponse) responses.get(3)).granted());
+        final KeyedRecordStore restarted = replica(storage, false);
+        restarted.onWrite(
                 new RecordWriteRequest(
-                        0, new KeyedRecord("k3", 3, new FencingToken(1, 1), "d", 1, false, null), era(again)),
-                got::add);
-        assertEquals(new RecordWriteResponse(false, false, false), got.get(4), "the bar outlives a restart");
+                        0, new KeyedRecord("k3", 3, new FencingToken(1, 1), "d", 1, false, null), era(restarted)),
+                responses::add);
+        assertEquals(
+                new RecordWriteResponse(false, false, false), responses.get(4), "the token floor survives a restart");
     }
 
     @Test
-    void aKeeperThatLostItsMemorySaysSoForTheRetentionEvenAcrossARestart() throws Exception {
-        final Rows disk = new Rows();
-        final KeyedRecordStore k = keeper(disk, true);
-        final List<Message> got = new ArrayList<>();
-        k.onWrite(
+    void aReplicaThatLostItsRecordsStaysIncompleteForTheRetentionAcrossRestarts() throws Exception {
+        final MemoryStorage storage = new MemoryStorage();
+        final KeyedRecordStore store = replica(storage, true);
+        final List<Message> responses = new ArrayList<>();
+        store.onWrite(
                 new RecordWriteRequest(
-                        0, new KeyedRecord("k1", 3, new FencingToken(1, 1), "d", 1, false, null), era(k)),
-                got::add);
+                        0, new KeyedRecord("k1", 3, new FencingToken(1, 1), "d", 1, false, null), era(store)),
+                responses::add);
         time.run(30_000);
-        final KeyedRecordStore again = keeper(disk, false);
-        assertTrue(again.isIncomplete());
+        final KeyedRecordStore restarted = replica(storage, false);
+        assertTrue(restarted.isIncomplete());
         time.run(RETENTION.retentionMs() - 1);
-        assertTrue(again.isIncomplete());
+        assertTrue(restarted.isIncomplete());
         time.run(RETENTION.retentionMs() + 1);
-        assertFalse(again.isIncomplete());
-        assertEquals(new RecordWriteResponse(true, true, false), got.get(0));
+        assertFalse(restarted.isIncomplete());
+        assertEquals(new RecordWriteResponse(true, true, false), responses.get(0));
     }
 
-    /** A clear of one try says nothing of another that stands beside it. */
+    /** A record that marks one attempt as not sent says nothing about another attempt with the same key. */
     @Test
-    void aTryIsClearOnlyByItsOwnWord() {
+    void anAttemptIsNotSentOnlyByItsOwnMark() {
         final FencingToken token = new FencingToken(1, 1);
         final KeyedRecord first = new KeyedRecord("k", 3, token, "d", 50, false, null);
-        final KeyedRecord word = new KeyedRecord("k", 3, token, "d", 50, true, null);
+        final KeyedRecord notSentMark = new KeyedRecord("k", 3, token, "d", 50, true, null);
         final KeyedRecord other = new KeyedRecord("k", 3, token, "d", 7, false, null);
-        assertTrue(KeyedRecord.resolve(List.of(first, word)).notSent());
-        assertFalse(KeyedRecord.resolve(List.of(word, other)).notSent());
-        assertFalse(KeyedRecord.resolve(List.of(first, other, word)).notSent());
-        assertEquals(other, word.mergedOver(other), "a clear does not cover another try");
-        assertEquals(word, word.mergedOver(first));
-        assertEquals(word, first.mergedOver(word), "nor does its own intent, when late, undo it");
+        assertTrue(KeyedRecord.resolve(List.of(first, notSentMark)).notSent());
+        assertFalse(KeyedRecord.resolve(List.of(notSentMark, other)).notSent());
+        assertFalse(KeyedRecord.resolve(List.of(first, other, notSentMark)).notSent());
+        assertEquals(other, notSentMark.mergedOver(other), "a not-sent mark does not replace another attempt");
+        assertEquals(notSentMark, notSentMark.mergedOver(first));
+        assertEquals(
+                notSentMark,
+                first.mergedOver(notSentMark),
+                "a delayed intent does not undo the mark of its own attempt");
     }
 }
