--- a/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/MonitoredStorage.java
@@ -10,8 +10,8 @@
 import org.rowanvalve.control.voting.StoreHealth;
 
 /**
- * A disk that reports how long it has been stalled, so that its voter can refuse instead of keeping others waiting.
- * Rows that could not be saved go along with whatever is saved next, so that a success covers all rows before it.
+ * Storage that detects a stalled or failing disk, so that its voter can reject requests instead of letting the callers
+ * wait. Rows of a failed write are added to the next write, so that a successful write also covers all earlier rows.
  */
 public final class MonitoredStorage implements StableStorage {
     private static final long PROBE_INTERVAL_MS = 300;
@@ -20,16 +20,19 @@
     private final TreeMap<Long, Long> pendingWrites = new TreeMap<>();
     private final Map<String, byte[]> unsavedRows = new HashMap<>();
     private final Map<String, Long> lastWriteOf = new HashMap<>();
-    private long serial;
+    private long lastWrite;
     private long failingSince = -1;
-    private long lastTriedAt;
+    private long lastAttemptAt;
 
     public MonitoredStorage(final StableStorage delegate, final EventLoop loop) {
         this.delegate = delegate;
         this.loop = loop;
     }
 
-    /** Whether it has been stalled or failing for the stated time; a failing disk is still tried now and then. */
+    /**
+     * Whether the disk has been stalled or failing for {@link StoreHealth#SILENCE_TIMEOUT_MILLIS}. A failing disk is
+     * not reported once the probe interval has passed since the last write, so that the next request tries it again.
+     */
     public boolean isStalled() {
         final long now = loop.now();
         final boolean slow = !pendingWrites.isEmpty()
@@ -37,7 +40,7 @@
         return slow
                 || failingSince >= 0
                         && now - failingSince >= StoreHealth.SILENCE_TIMEOUT_MILLIS
-                        && now - lastTriedAt < PROBE_INTERVAL_MS;
+                        && now - lastAttemptAt < PROBE_INTERVAL_MS;
     }
 
     @Override
@@ -47,13 +50,13 @@
 
     @Override
     public void save(final Map<String, byte[]> rows, final Consumer<Boolean> done) {
-        final long write = ++serial;
+        final long write = ++lastWrite;
         final Map<String, byte[]> combined = new HashMap<>(unsavedRows);
         combined.putAll(rows);
         unsavedRows.clear();
         combined.keySet().forEach(key -> lastWriteOf.put(key, write));
-        lastTriedAt = loop.now();
-        pendingWrites.put(write, lastTriedAt);
+        lastAttemptAt = loop.now();
+        pendingWrites.put(write, lastAttemptAt);
         delegate.save(combined, ok -> {
             pendingWrites.remove(write);
             combined.forEach((key, value) -> {
--- a/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
@@ -33,19 +33,37 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Proposes changes to registers. A write prepares at a majority of the voters, takes over the value last accepted,
- * applies the change to it, and has the result accepted at a majority with at least one store. Only then is it chosen
- * and sent to the other nodes. Writes of one register go one after the other; proposers of several nodes are ordered by
- * their ballots.
+ * Proposes changes to registers. A write prepares a ballot at a majority of the voters, takes the accepted value with
+ * the highest ballot, applies the update to that value, and asks the voters to accept the result. The result is chosen
+ * once a write quorum has accepted it (a majority, with a store if there are stores), and is then announced to the other
+ * nodes. The writes of one register are serialized; competing proposers are ordered by their ballots.
  */
 public final class Proposer {
+    /** Time-out of a prepare or accept request to one voter. */
+    private static final long REQUEST_TIMEOUT_MS = 600;
+
+    private static final long MIN_PREPARE_TIMEOUT_MS = 20;
+    /** A prepare request times out this long before the deadline of its proposal. */
+    private static final long PREPARE_TIMEOUT_MARGIN_MS = 20;
+
+    private static final long MIN_CONFIRM_TIMEOUT_MS = 200;
+    private static final int MIN_BACKOFF_MS = 5;
+    /** The random part of the backoff is below this bound, plus one step for each failed attempt. */
+    private static final int BACKOFF_RANGE_MS = 15;
+
+    private static final int BACKOFF_STEP_MS = 20;
+    private static final int MAX_BACKOFF_STEPS = 8;
     /**
-     * Upper bound of the random pause after a lost ballot: two proposers that overtake each other have to draw from
-     * more than one round takes.
+     * After a preemption the random backoff also grows by the duration of the last round, up to this bound, times the
+     * number of attempts. Two proposers that preempt each other need a backoff range longer than one round, or they
+     * continue to preempt each other.
      */
-    private static final long MAX_CONTENTION_DELAY_MS = 400;
+    private static final long MAX_ROUND_DURATION_MS = 400;
 
+    private static final int MAX_ROUND_FACTOR = 3;
+    /** Accept requests for these registers also prepare the next ballot, so that the next write skips the prepare. */
     private static final Set<ItemId> PRE_PROMISED = Set.of(ItemId.LEADERSHIP, ItemId.PLAN, ItemId.LEDGER);
+
     private final VotingConfiguration votingConfiguration;
     private final EventLoop loop;
     private final Transport transport;
@@ -58,32 +76,32 @@
     private final Map<ItemId, PreparedBallot> preparedBallots = new HashMap<>();
     private long highestRound;
 
-    /** A ballot that a majority promised when it accepted this value: the next write needs no prepare. */
+    /** A ballot that a majority promised when it accepted {@code item}; the next write skips the prepare phase. */
     private record PreparedBallot(Ballot ballot, Item item) {}
 
-    /** How a proposal ended. */
+    /** The outcome of a proposal. */
     public enum Status {
-        /** Accepted at a majority and synced there. */
+        /** The value was accepted and synced by a write quorum. */
         ACCEPTED,
-        /** The register did not stand where the writer expected; the value found is chosen. */
+        /** The update did not apply to the current value, which is chosen. */
         CONFLICT,
-        /** Nothing was sent that a voter could accept, or the value is too large; it will not take effect. */
+        /** No accept request was sent, for example because the value is too large; the write does not take effect. */
         REJECTED,
-        /** The time-out passed; the value may be chosen or not. */
+        /** The outcome is not known: the value was sent in an accept request and may or may not be chosen. */
         UNKNOWN
     }
 
-    /** {@code item}: the value that stands, as far as it is known. */
+    /** {@code item}: the latest value of the register known to the proposer. */
     public record Result(Status status, Item item) {
         public boolean isAccepted() {
             return status == Status.ACCEPTED;
         }
     }
 
-    /** Gives the new value of the register, or empty where the register does not stand where the writer expected. */
+    /** Returns the new value of the register, or empty if the write does not apply to the current value. */
     @FunctionalInterface
     public interface Update {
-        Optional<Item> apply(Item now);
+        Optional<Item> apply(Item current);
     }
 
     public Proposer(
@@ -110,8 +128,9 @@
     }
 
     /**
-     * Writes one register. {@code writeId}: recognizes a repeat of the same write; {@code timeoutMs}: after which the
-     * callback gets {@link Status#UNKNOWN} or {@link Status#REJECTED}. The callback is called once, in the event loop.
+     * Writes one register. {@code writeId} identifies the write: if the register already has a value with this id, that
+     * value is accepted again instead of applying {@code change}. After {@code timeoutMs} without a result the callback
+     * gets {@link Status#UNKNOWN} or {@link Status#REJECTED}. The callback is called once, in the event loop.
      */
     public void propose(
             final ItemId id,
@@ -122,7 +141,10 @@
         new Proposal(id, writeId, loop.now() + timeoutMs, change, callback).prepare();
     }
 
-    /** Reads one register by having its value chosen once more, so the result is as of a moment after the call. */
+    /**
+     * Reads one register by a write that keeps its value, so that the result reflects every write that completed before
+     * the call.
+     */
     public void read(final ItemId id, final long timeoutMs, final Consumer<Result> callback) {
         propose(id, "", timeoutMs, Optional::of, callback);
     }
@@ -146,7 +168,7 @@
         private final Set<NodeId> preparedNext = new HashSet<>();
         private Ballot nextBallot;
         private int phase;
-        /** The voters whose answers count in this stage. */
+        /** The voting set of the current phase; responses of other voters are not counted. */
         private Quorum quorum = votingConfiguration.quorum();
 
         Proposal(
@@ -174,10 +196,12 @@
             if (done) {
                 return;
             }
-            final long roundMs = preempted ? Math.min(MAX_CONTENTION_DELAY_MS, loop.now() - startedAt) : 0;
+            final long roundMs = preempted ? Math.min(MAX_ROUND_DURATION_MS, loop.now() - startedAt) : 0;
             preempted = false;
-            final long delayMs =
-                    5 + random.nextInt(15 + 20 * Math.min(8, ++attempts) + (int) (Math.min(3, attempts) * roundMs));
+            final long delayMs = MIN_BACKOFF_MS
+                    + random.nextInt(BACKOFF_RANGE_MS
+                            + BACKOFF_STEP_MS * Math.min(MAX_BACKOFF_STEPS, ++attempts)
+                            + (int) (Math.min(MAX_ROUND_FACTOR, attempts) * roundMs));
             if (loop.now() + delayMs >= deadline) {
                 complete(sent ? Status.UNKNOWN : Status.REJECTED, items.get(id));
             } else {
@@ -210,7 +234,9 @@
                 transport.request(
                         voter,
                         new PrepareRequest(quorum.epoch(), id, ballot),
-                        Math.max(20, Math.min(600, deadline - loop.now() - 20)),
+                        Math.max(
+                                MIN_PREPARE_TIMEOUT_MS,
+                                Math.min(REQUEST_TIMEOUT_MS, deadline - loop.now() - PREPARE_TIMEOUT_MARGIN_MS)),
                         reply -> onPrepareResponse(voter, requestPhase, reply));
             }
         }
@@ -221,7 +247,7 @@
             }
             final Optional<PrepareResponse> response = reply.as(PrepareResponse.class);
             response.ifPresent(
-                    p -> highestRound = Math.max(highestRound, p.highestBallot().round()));
+                    r -> highestRound = Math.max(highestRound, r.highestBallot().round()));
             if (phase != requestPhase || done) {
                 return;
             }
@@ -242,7 +268,7 @@
             }
         }
 
-        /** A voter of a later voting set ends the phase: it starts again among the present voters. */
+        /** Restarts the proposal with the present voting set if the voter's reply made this node adopt a later set. */
         private boolean onVotingSetChange(final NodeId voter, final int requestPhase, final Reply reply) {
             if (!votingConfiguration.isEpochMismatch(voter, reply) || quorum.epoch() == votingConfiguration.epoch()) {
                 return false;
@@ -269,7 +295,7 @@
                         id.text(),
                         "ver",
                         current.version().number()));
-                confirmStanding(current);
+                confirmCurrent(current);
             } else if (next.get().approximateBytes() > Item.MAX_BYTES) {
                 phase++;
                 complete(sent ? Status.UNKNOWN : Status.REJECTED, current);
@@ -278,24 +304,27 @@
             }
         }
 
-        /** The value found may be held by a minority only: it is chosen before the loser is told. */
-        private void confirmStanding(final Item standing) {
-            if (standing.version().number() == 0) {
-                complete(sent ? Status.UNKNOWN : Status.CONFLICT, standing);
+        /**
+         * Has the conflicting value chosen before the conflict is reported, since only a minority of the voters may have
+         * accepted that value so far.
+         */
+        private void confirmCurrent(final Item item) {
+            if (item.version().number() == 0) {
+                complete(sent ? Status.UNKNOWN : Status.CONFLICT, item);
                 return;
             }
             read(
                     id,
-                    Math.max(200, deadline - loop.now()),
+                    Math.max(MIN_CONFIRM_TIMEOUT_MS, deadline - loop.now()),
                     reply -> complete(
                             reply.isAccepted()
                                     ? sent
                                                     && reply.item().version().number()
-                                                            > standing.version().number()
+                                                            > item.version().number()
                                             ? Status.UNKNOWN
                                             : Status.CONFLICT
                                     : sent ? Status.UNKNOWN : Status.REJECTED,
-                            reply.isAccepted() ? reply.item() : standing));
+                            reply.isAccepted() ? reply.item() : item));
         }
 
         private void sendAccept(final Item item) {
@@ -312,7 +341,7 @@
                 transport.request(
                         voter,
                         new AcceptRequest(quorum.epoch(), ballot, item, nextBallot),
-                        600,
+                        REQUEST_TIMEOUT_MS,
                         reply -> onAcceptResponse(voter, requestPhase, sentAt, item, reply));
             }
             loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, () -> checkAccepted(requestPhase, sentAt, item));
@@ -325,7 +354,7 @@
             }
             final Optional<AcceptResponse> response = reply.as(AcceptResponse.class);
             response.ifPresent(
-                    a -> highestRound = Math.max(highestRound, a.highestBallot().round()));
+                    r -> highestRound = Math.max(highestRound, r.highestBallot().round()));
             final boolean accepted = response.isPresent() && response.get().accepted();
             if (accepted) {
                 storeHealth.recordSync(voter);
@@ -384,7 +413,7 @@
     private void announce(final ChosenItem chosen) {
         final List<NodeId> recipients = new ArrayList<>(learners.get());
         votingConfiguration.voters().stream()
-                .filter(e -> !recipients.contains(e))
+                .filter(voter -> !recipients.contains(voter))
                 .forEach(recipients::add);
         transport.send(recipients, new LearnNotification(List.of(chosen)));
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/RecoveryProgress.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/RecoveryProgress.java
@@ -14,10 +14,10 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.store.ItemStore;
 
-/** Reports how far a voter is, after its start, in learning which of its accepted values are chosen. */
+/** Reports the progress of a voter after its start in learning which of its accepted values are chosen. */
 final class RecoveryProgress {
     private static final long REPORT_INTERVAL_MS = 2000;
-    private static final long TIMER_MS = 50;
+    private static final long CHECK_INTERVAL_MS = 50;
     private final EventLoop loop;
     private final EventJournal journal;
     private Supplier<Map<ItemId, Register>> registers;
@@ -25,7 +25,7 @@
     private Collection<ItemId> foundOnDisk;
     private long startedAt;
     private long lastReportAt;
-    private long expectedAt;
+    private long checkDueAt;
     private long worstDelayMs;
     private long reads;
     private long failedReads;
@@ -36,7 +36,7 @@
         this.journal = journal;
     }
 
-    /** {@code foundOnDisk}: the registers that were there at the start; nothing is reported where there are none. */
+    /** {@code registersFoundOnDisk}: the registers found on disk at the start; if there are none, nothing is reported. */
     void start(
             final Supplier<Map<ItemId, Register>> allRegisters,
             final ItemStore knownItems,
@@ -62,12 +62,12 @@
     }
 
     private void scheduleCheck() {
-        expectedAt = loop.now() + TIMER_MS;
-        loop.schedule(TIMER_MS, this::check);
+        checkDueAt = loop.now() + CHECK_INTERVAL_MS;
+        loop.schedule(CHECK_INTERVAL_MS, this::check);
     }
 
     private void check() {
-        worstDelayMs = Math.max(worstDelayMs, loop.now() - expectedAt);
+        worstDelayMs = Math.max(worstDelayMs, loop.now() - checkDueAt);
         if (foundOnDisk.stream().noneMatch(this::isUnknown)) {
             report(EventCode.RECOVERED, 0);
             return;
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnchosenValues.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnchosenValues.java
@@ -8,8 +8,8 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * The registers whose accepted value is not known as chosen at this node, kept up to date with each change, so that
- * looking for them costs nothing where there are none, however many registers there are.
+ * The registers whose accepted value is not known as chosen at this node. The set is updated with each change of a
+ * register or an item, so that a lookup does not scan all registers.
  */
 public final class UnchosenValues {
     private final Acceptor acceptor;
@@ -24,7 +24,7 @@
         items.addListener(item -> update(item.id()));
     }
 
-    /** In the order of their names; changes with the registers. */
+    /** A live view of the register ids, in their natural order. */
     public SortedSet<ItemId> ids() {
         return Collections.unmodifiableSortedSet(ids);
     }
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -23,36 +23,39 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Completes writes whose proposer has gone: values accepted here that nobody has announced as chosen. Values found on
- * the disk at a start are completed at once, by the first voter that is up, since after a loss of all power no proposer
- * is left. Where there are more than a few, the voters first compare what they have accepted, which tells of nearly all
- * values that they are chosen; only what is left after that is read by ballot. A bounded number of items is read at a
- * time, each once, so that recovery leaves room for the leader's own writes.
+ * Completes writes whose proposer has failed: values that this voter has accepted and that no node has announced as
+ * chosen. Values found on disk at the start are completed at once by the first voter that is up, since no proposer is
+ * left after a power failure of all nodes. If the number of unknown values exceeds a threshold, the voters first compare
+ * their accepted values, which shows that nearly all of them are chosen; only the rest are read by ballot. The number
+ * of concurrent reads is bounded, and a register is not read again while a read of it is open, so that recovery leaves
+ * capacity for the leader's own writes.
  */
 public final class UnfinishedWriteRecovery {
-    /** Upper bound of items that are read at the same time. */
     static final int MAX_CONCURRENT_READS = 64;
 
-    /** Up to so many unknown values are read by ballot without a comparison. */
-    static final int FEW_VALUES = 16;
+    /** Up to this number of unknown values are read by ballot without a comparison. */
+    static final int COMPARISON_THRESHOLD = 16;
 
     private static final long INTERVAL_MS = 50;
-    /** A value that no comparison has examined for this time is read by ballot. */
-    private static final long COMPARISON_PATIENCE_MS = 2000;
+    /** A value is read by ballot after it has been unknown for this time, even if no comparison has examined it. */
+    private static final long COMPARISON_TIMEOUT_MS = 2000;
 
     private static final long READ_TIMEOUT_MILLIS = 700;
-    /** For this time after the start, items found on the disk are completed sooner than others. */
+    /** For this time after the start, values found on disk are completed sooner than others. */
     private static final long STARTUP_MS = 4000;
 
+    /** Delay per rank before a voter reads values found on disk, so that voters do not read them at the same time. */
     private static final long RANK_DELAY_MS = 250;
-    /** From the end of a read to the next one of the same register, where its value is still unknown. */
+
+    private static final int STARTUP_REREAD_SPREAD_MS = 100;
+    /** Delay between two reads of the same register while its value is still unknown. */
     private static final long REREAD_DELAY_MS = 800;
 
-    /** An accepted value that nobody has announced is read after this time, and up to the spread later. */
+    /** An accepted value that has not been announced is read after this delay plus a random part of the spread. */
     private static final long FIRST_READ_DELAY_MS = 150;
 
     private static final int FIRST_READ_SPREAD_MS = 300;
-    /** The control plane cannot work without these items, so they are completed first. */
+    /** Items that the control plane needs in order to work; they are completed first. */
     private static final Set<ItemKind> URGENT = Set.of(ItemKind.LEADERSHIP, ItemKind.PLAN, ItemKind.VOTERS);
 
     private final BooleanSupplier isVoting;
@@ -66,28 +69,28 @@
     private final Map<ItemId, Long> dueAt = new HashMap<>();
     private final Set<ItemId> foundOnDisk = new HashSet<>();
     private final Set<ItemId> reading = new HashSet<>();
-    /** Found on disk or accepted since, compared with the other voters, and still not known as chosen. */
+    /** Registers that were compared with the other voters and whose value is still not known as chosen. */
     private final Set<ItemId> examined = new HashSet<>();
 
     private final Map<ItemId, Long> unknownSince = new HashMap<>();
     private final Comparison comparison;
-    private final int fewValues;
+    private final int comparisonThreshold;
     private final RecoveryProgress progress;
     private long startedAt;
 
-    /** Reads a register, which has its value chosen; {@code done} gets whether that is known in time. */
+    /** Reads a register by ballot; {@code done} gets whether its value became known as chosen within the time-out. */
     @FunctionalInterface
     interface Reader {
         void read(ItemId id, Consumer<Boolean> done);
     }
 
-    /** Compares all accepted values with the other voters'; see {@link Acceptor#compareAcceptedValues}. */
+    /** Compares all accepted values with those of the other voters; see {@link Acceptor#compareAcceptedValues}. */
     @FunctionalInterface
     interface Comparison {
         void run(Consumer<Collection<ItemId>> examined);
     }
 
-    /** {@code rank}: this voter's place among all. */
+    /** {@code rank}: the index of this voter in the voting set. */
     public UnfinishedWriteRecovery(
             final Acceptor acceptor,
             final ItemStore items,
@@ -96,10 +99,10 @@
             final Random random,
             final IntSupplier rank,
             final EventJournal journal) {
-        this(acceptor, items, proposer, loop, random, rank, journal, FEW_VALUES);
+        this(acceptor, items, proposer, loop, random, rank, journal, COMPARISON_THRESHOLD);
     }
 
-    /** {@code fewValues}: how many unknown values are read by ballot without a comparison. */
+    /** {@code comparisonThreshold}: up to this number of unknown values are read by ballot without a comparison. */
     UnfinishedWriteRecovery(
             final Acceptor acceptor,
             final ItemStore items,
@@ -108,7 +111,7 @@
             final Random random,
             final IntSupplier rank,
             final EventJournal journal,
-            final int fewValues) {
+            final int comparisonThreshold) {
         this(
                 acceptor::isVoting,
                 acceptor::registers,
@@ -120,10 +123,10 @@
                 random,
                 rank,
                 journal,
-                fewValues);
+                comparisonThreshold);
     }
 
-    /** {@code unchosen}: the registers whose accepted value is not known as chosen, in the order of their names. */
+    /** {@code unchosen}: the registers whose accepted value is not known as chosen, in the order of their ids. */
     UnfinishedWriteRecovery(
             final BooleanSupplier isVoting,
             final Supplier<Map<ItemId, Register>> registers,
@@ -135,8 +138,8 @@
             final Random random,
             final IntSupplier rank,
             final EventJournal journal,
-            final int fewValues) {
-        this.fewValues = fewValues;
+            final int comparisonThreshold) {
+        this.comparisonThreshold = comparisonThreshold;
         this.isVoting = isVoting;
         this.registers = registers;
         this.unchosen = unchosen;
@@ -149,7 +152,7 @@
         this.progress = new RecoveryProgress(loop, journal);
     }
 
-    /** Begins to look for accepted values that are not known as chosen. */
+    /** Starts the periodic check for accepted values that are not known as chosen. */
     public void start() {
         startedAt = loop.now();
         foundOnDisk.addAll(registers.get().keySet());
@@ -169,9 +172,9 @@
         dueItems(unknown).stream().limit(MAX_CONCURRENT_READS - reading.size()).forEach(this::read);
     }
 
-    /** Writes that are merely under way are no reason to compare. */
+    /** Writes in progress do not trigger a comparison: at least one unknown value must be due for recovery. */
     private boolean isComparisonDue(final Set<ItemId> unknown) {
-        return unknown.size() > fewValues
+        return unknown.size() > comparisonThreshold
                 && !examined.containsAll(unknown)
                 && unknown.stream().anyMatch(id -> isStartupRecovery(id) || isDue(id));
     }
@@ -180,7 +183,7 @@
         return loop.now() >= dueAt.computeIfAbsent(id, this::firstDueAt);
     }
 
-    /** Registers whose accepted value is not known as chosen; what is known of others is forgotten. */
+    /** Returns the registers whose accepted value is not known as chosen, and discards the state of all others. */
     private Set<ItemId> unknownItems() {
         final Set<ItemId> unknown = new LinkedHashSet<>(unchosen.get());
         unknown.forEach(id -> unknownSince.putIfAbsent(id, loop.now()));
@@ -192,23 +195,26 @@
         return unknown;
     }
 
-    /** The items that are due; two voters begin at different ends, so that they do not overtake each other. */
+    /**
+     * Returns the items that are due, urgent ones first. Voters of even and odd rank start at opposite ends of the list,
+     * so that their ballots do not preempt each other.
+     */
     private List<ItemId> dueItems(final Set<ItemId> unknown) {
-        final List<ItemId> list = new ArrayList<>(unknown.stream()
-                .filter(id -> unknown.size() <= fewValues || mayBeRead(id))
+        final List<ItemId> due = new ArrayList<>(unknown.stream()
+                .filter(id -> unknown.size() <= comparisonThreshold || mayBeRead(id))
                 .filter(id -> isDue(id) && !reading.contains(id))
                 .toList());
         if (rank.getAsInt() % 2 == 1) {
-            Collections.reverse(list);
+            Collections.reverse(due);
         }
-        list.sort(Comparator.comparing(id -> !URGENT.contains(id.kind())));
-        return list;
+        due.sort(Comparator.comparing(id -> !URGENT.contains(id.kind())));
+        return due;
     }
 
     private boolean mayBeRead(final ItemId id) {
         return URGENT.contains(id.kind())
                 || examined.contains(id)
-                || loop.now() - unknownSince.get(id) >= COMPARISON_PATIENCE_MS;
+                || loop.now() - unknownSince.get(id) >= COMPARISON_TIMEOUT_MS;
     }
 
     private boolean isStartupRecovery(final ItemId id) {
@@ -232,10 +238,18 @@
         });
     }
 
-    /** A register that was settled meanwhile has no next read; its next write may merely be under way. */
+    /**
+     * A register whose value has become known is not scheduled again: a later value may belong to a write that is still
+     * in progress.
+     */
     private void scheduleNextRead(final ItemId id) {
         if (unknownSince.containsKey(id)) {
-            dueAt.put(id, loop.now() + (isStartupRecovery(id) ? RANK_DELAY_MS + random.nextInt(100) : REREAD_DELAY_MS));
+            dueAt.put(
+                    id,
+                    loop.now()
+                            + (isStartupRecovery(id)
+                                    ? RANK_DELAY_MS + random.nextInt(STARTUP_REREAD_SPREAD_MS)
+                                    : REREAD_DELAY_MS));
         }
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/consensus/VoterContext.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/VoterContext.java
@@ -6,7 +6,7 @@
 import org.rowanvalve.common.runtime.Transport;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** What all parts of one voter share; {@code incarnation} names this start of its process. */
+/** The context that all components of a voter share; {@code incarnation} identifies this run of its process. */
 record VoterContext(
         NodeId self,
         String incarnation,
--- a/control/src/main/java/org/rowanvalve/control/consensus/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Single-decree agreement on each register by itself (Paxos per item, without a log and without a leader): the
- * proposer, the acceptor with its state on stable storage, the recovery of a lost state, the handover between two
- * voting sets, and the completion of writes whose proposer vanished.
+ * Single-decree consensus on each register independently (Paxos per item, without a log and without a leader): the
+ * proposer, the acceptor with its state on stable storage, the recovery of lost acceptor state, the handover between
+ * two voting sets, and the completion of writes whose proposer has failed.
  *
- * <p>Safety rests on three things. An acceptor answers only in the epoch it is in, and only while it holds all that it
- * ever answered there. One that lost its state reads a majority first, and each that is read raises its ballot floor.
- * A later voting set answers only once a majority of the earlier one is sealed and read.
+ * <p>Safety rests on three rules. First, an acceptor answers only in its present epoch, and only while its state
+ * contains every promise and accepted value of that epoch. Second, an acceptor that lost its state reads a majority of
+ * the voters before it answers again, and each voter that is read raises its ballot floor. Third, the voters of a new
+ * voting set answer only after a majority of the previous set has been sealed and read.
  *
  * <p>Depends on {@code control.store} and {@code control.voting}.
  */
--- a/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
+++ b/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
@@ -16,15 +16,22 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Elects the leader, which manages leases and the voting set. Leadership is a register: whoever writes a higher term
- * into it leads, and renews it. With D and M of the leadership lease ({@link LeaseTimings#leadershipLeaseMs}), a leader
- * acts only until the send time of its last accepted renewal plus D - M; another node campaigns only D + 2M after it
- * learned the last renewal. So two leaders never act at the same time as long as clocks drift by less than M in D + 2M.
+ * Elects the leader, which manages leases and the voting set. Leadership is a lease in a register: the node that writes
+ * a higher term becomes the leader and renews the lease. Let D be the duration of the lease
+ * ({@link LeaseTimings#leadershipLeaseMs}) and M its margin ({@link LeaseTimings#leadershipMarginMs}). A leader acts
+ * only until D - M after it sent its last accepted renewal. Another node campaigns only D + 2M after it learned of the
+ * last renewal. Therefore two leaders never act at the same time as long as clocks drift by less than M in D + 2M.
  */
 public final class LeaderElection {
-    /** Terms that are skipped after a loss of state: more than a partitioned side can have begun in two weeks. */
+    /**
+     * The number of terms that are skipped after a loss of voter state: more than a partitioned group of nodes can have
+     * started in two weeks.
+     */
     public static final long TERM_LEAP = 1_000_000;
 
+    private static final long CAMPAIGN_CHECK_INTERVAL_MS = 25;
+    private static final long RESIGN_TIMEOUT_MS = 1500;
+
     private final NodeId self;
     private final String incarnation;
     private final EventLoop loop;
@@ -39,17 +46,18 @@
     private long term;
     private boolean campaigning;
     private boolean renewing;
-    private long writeSerial;
+    private long writeCount;
     private boolean leading;
     private boolean resigned;
 
     /**
-     * {@code last}: the last instant, on this clock, at which the earlier leader could have granted; {@code wary}:
-     * whether terms were skipped because the electors' state was the only copy left.
+     * Called when this node has become the leader. {@code lastPossibleGrant} is the latest time, by the clock of this
+     * node, at which the previous leader could have granted a lease. {@code termsSkipped} tells whether terms were
+     * skipped because the state of the voters had been restored from the only remaining copy.
      */
     @FunctionalInterface
     public interface Listener {
-        void onElected(long term, long last, boolean wary);
+        void onElected(long term, long lastPossibleGrant, boolean termsSkipped);
     }
 
     public LeaderElection(
@@ -75,26 +83,26 @@
         this.listener = listener;
     }
 
-    /** Begins to campaign and to renew. */
+    /** Starts the periodic renewal of the lease and the periodic check whether to campaign. */
     public void start() {
         loop.scheduleRepeatedly(timings.leadershipLeaseMs() / 4, this::renew);
-        loop.scheduleRepeatedly(25, this::checkLeadership);
+        loop.scheduleRepeatedly(CAMPAIGN_CHECK_INTERVAL_MS, this::checkLeadership);
     }
 
-    /** Whether this node may act as leader now: its last renewal is still valid by its own clock. */
+    /** Whether this node may act as leader now: its lease is still valid by its own clock. */
     public boolean isLeader() {
         return leading && loop.now() < validUntil;
     }
 
     /**
-     * Still named as leader, though its last renewal has expired: it does nothing, and goes on with its term if no
-     * other took over.
+     * Whether this node was elected but its lease has expired by its own clock. In this state it does not act as leader;
+     * if no other node has taken over, a later renewal continues the term.
      */
     public boolean isUncertain() {
         return leading && loop.now() >= validUntil;
     }
 
-    /** The last term that this node won; 0 before the first. */
+    /** The last term in which this node was elected; 0 if there is none. */
     public long term() {
         return term;
     }
@@ -135,23 +143,23 @@
             final long nextTerm,
             final long timeoutMs,
             final java.util.function.Consumer<Proposer.Result> callback) {
-        final Item standing = items.get(ItemId.LEADERSHIP);
-        final Leadership previous = Leadership.of(standing);
+        final Item knownItem = items.get(ItemId.LEADERSHIP);
+        final Leadership previous = Leadership.of(knownItem);
         final boolean renewal = nextTerm == term;
-        final String tag = self + "-" + incarnation + "-" + nextTerm + "-" + ++writeSerial;
+        final String writeId = self + "-" + incarnation + "-" + nextTerm + "-" + ++writeCount;
         proposer.propose(
                 ItemId.LEADERSHIP,
-                tag,
+                writeId,
                 timeoutMs,
-                now -> {
-                    final Leadership current = Leadership.of(now);
-                    final boolean same = renewal
+                currentItem -> {
+                    final Leadership current = Leadership.of(currentItem);
+                    final boolean unchanged = renewal
                             ? current.term() == nextTerm
                                     && current.incarnation().equals(incarnation)
                                     && resumptions.getAsLong() <= current.resumptions()
-                            : now.version().equals(standing.version());
-                    return same
-                            ? Optional.of(now.successor(
+                            : currentItem.version().equals(knownItem.version());
+                    return unchanged
+                            ? Optional.of(currentItem.successor(
                                     Json.write(new Leadership(
                                             self.text(),
                                             incarnation,
@@ -161,7 +169,7 @@
                                             Math.max(current.resumptions(), resumptions.getAsLong()),
                                             timings.leadershipLeaseMs(),
                                             timings.leadershipMarginMs())),
-                                    tag))
+                                    writeId))
                             : Optional.empty();
                 },
                 result -> {
@@ -176,26 +184,26 @@
         if (leading || campaigning || resigned || !eligible.getAsBoolean()) {
             return;
         }
-        final Item standing = items.get(ItemId.LEADERSHIP);
-        final Leadership current = Leadership.of(standing);
+        final Item knownItem = items.get(ItemId.LEADERSHIP);
+        final Leadership current = Leadership.of(knownItem);
         final long learnedAt = items.learnedAt(ItemId.LEADERSHIP);
         final long now = loop.now();
         final boolean ownRecord = current.leader().equals(self.text());
-        final boolean vacant = standing.version().number() == 0 || current.released();
+        final boolean vacant = knownItem.version().number() == 0 || current.released();
         if (!vacant && !ownRecord && now - learnedAt < current.leaseMs(timings) + 2 * current.marginMs(timings)) {
             return;
         }
         final long lastPossibleGrant = vacant
                 ? Math.min(learnedAt, now)
                 : ownRecord ? now : learnedAt + current.leaseMs(timings) - current.marginMs(timings);
-        campaign(standing, current, lastPossibleGrant);
+        campaign(knownItem, current, lastPossibleGrant);
     }
 
-    private void campaign(final Item standing, final Leadership current, final long lastPossibleGrant) {
+    private void campaign(final Item knownItem, final Leadership current, final long lastPossibleGrant) {
         campaigning = true;
         final long sentAt = loop.now();
-        final boolean termLeapt = resumptions.getAsLong() > current.resumptions();
-        final long nextTerm = current.term() + (termLeapt ? TERM_LEAP : 1);
+        final boolean termsSkipped = resumptions.getAsLong() > current.resumptions();
+        final long nextTerm = current.term() + (termsSkipped ? TERM_LEAP : 1);
         writeLeadership(false, nextTerm, timings.leadershipLeaseMs() - timings.leadershipMarginMs(), result -> {
             campaigning = false;
             if (result.isAccepted()) {
@@ -207,13 +215,13 @@
                         "term",
                         term,
                         "after",
-                        standing.version().number()));
-                listener.onElected(term, termLeapt ? loop.now() : lastPossibleGrant, termLeapt);
+                        knownItem.version().number()));
+                listener.onElected(term, termsSkipped ? loop.now() : lastPossibleGrant, termsSkipped);
             }
         });
     }
 
-    /** Resigns, so that another node need not wait for the lease of this one to expire. */
+    /** Releases the leadership, so that another node can campaign before the lease of this node expires. */
     public void resign(final Runnable callback) {
         resigned = true;
         if (!isLeader()) {
@@ -221,10 +229,10 @@
             return;
         }
         stepDown();
-        writeLeadership(true, term, 1500, result -> callback.run());
+        writeLeadership(true, term, RESIGN_TIMEOUT_MS, result -> callback.run());
     }
 
-    /** Stops acting as leader at once, without writing anything; the lease expires by itself. */
+    /** Stops acting as leader immediately without a write; the lease in the register expires on its own. */
     public void abandon() {
         stepDown();
     }
--- a/control/src/main/java/org/rowanvalve/control/election/Leadership.java
+++ b/control/src/main/java/org/rowanvalve/control/election/Leadership.java
@@ -6,10 +6,15 @@
 import org.rowanvalve.control.json.Json;
 
 /**
- * The register that names the leader. {@code incarnation}: the start of the leader that was elected; {@code renewals}:
- * how often it renewed in this term; {@code released}: it resigned, so that another need not wait; {@code resumptions}:
- * how often the state of its electors was the only copy left; {@code leaseMs}, {@code marginMs}: the time-outs it leads
- * by.
+ * The body of the register that names the leader.
+ *
+ * @param leader the id of the leader
+ * @param incarnation the run of the leader's process that was elected
+ * @param renewals the number of renewals in this term
+ * @param released whether the leader has resigned, so that another node need not wait for the lease to expire
+ * @param resumptions how often the state of the voters was restored from the only remaining copy
+ * @param leaseMs the duration of the lease
+ * @param marginMs the margin within the lease
  */
 public record Leadership(
         @JsonProperty("holder") String leader,
@@ -20,7 +25,7 @@
         @JsonProperty("lives") long resumptions,
         @JsonProperty("reign") long leaseMs,
         @JsonProperty("slack") long marginMs) {
-    /** A record without a duration was written by a release that used the D of shards. */
+    /** If the record has no duration, it was written by a release that used the lease duration of shards. */
     long leaseMs(final LeaseTimings timings) {
         return leaseMs > 0 ? leaseMs : timings.leaseMs();
     }
@@ -29,7 +34,7 @@
         return leaseMs > 0 ? marginMs : timings.marginMs();
     }
 
-    /** The leadership of the item; released, in term 0, where it does not exist. */
+    /** Parses the leadership from the item; if the item does not exist, the result is a released leadership of term 0. */
     public static Leadership of(final Item item) {
         return item.exists() ? Json.read(item.body(), Leadership.class) : new Leadership("", "", 0, 0, true, 0, 0, 0);
     }
--- a/control/src/main/java/org/rowanvalve/control/election/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/election/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Election of the one leader: a lease of its own on the leadership register, with a term that only rises.
+ * Election of the leader by a lease in the leadership register, whose term never decreases.
  *
  * <p>Depends on {@code control.consensus}, {@code control.json} and {@code control.store}.
  */
--- a/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
+++ b/control/src/main/java/org/rowanvalve/control/reconfiguration/VotingSetPlanner.java
@@ -28,8 +28,9 @@
 import org.rowanvalve.control.voting.VotingSet;
 
 /**
- * Keeps the voting set at its wanted size, at the leader only: a voter that is leaving or has been silent for too long
- * is replaced by a standby, one in each change. The change is written by ballot of the set that it ends.
+ * Maintains the voting set at its target size; runs on the leader only. Each change replaces, adds or removes one voter:
+ * a voter that is leaving or has been silent for too long is replaced by a standby. A change is chosen by ballot of the
+ * voting set that it replaces.
  */
 public final class VotingSetPlanner {
     /** Silence after which a voter is replaced. */
@@ -38,13 +39,13 @@
     private static final long INTERVAL_MS = 100;
     private static final long WRITE_TIMEOUT_MILLIS = 1000;
     private static final long STANDBY_TIMEOUT_MILLIS = 800;
-    /** How often the next standby is kept up to date. */
+    /** The interval at which the next standby is prepared while no change is due. */
     private static final long STANDBY_REFRESH_MS = 2000;
-    /** The least time between two changes that are not urgent. */
+    /** The minimum time between two changes of the size only, and from an election to such a change. */
     private static final long MIN_CHANGE_INTERVAL_MS = 2000;
-    /** How long a change waits for voters that have not taken over yet. */
+    /** How long the next change waits for voters that have not answered in the present epoch yet. */
     private static final long JOIN_TIMEOUT_MILLIS = 3000;
-    /** A standby must have been heard from for this time, without a longer silence. */
+    /** A standby must have been known for this time, with its last heartbeat more recent than this. */
     private static final long SETTLED_MS = 1000;
 
     private final NodeId self;
@@ -64,10 +65,10 @@
     private long standbyRefreshedAt;
     private boolean changing;
 
-    /** What to do next: {@code removed} and {@code added} may be null. */
+    /** A change of the voting set; {@code removed} or {@code added} may be null. */
     record SetChange(NodeId removed, NodeId added, String reason) {}
 
-    /** {@code toleratedLosses}: how many voters may be lost at once; 0 keeps the size of the set. */
+    /** {@code toleratedLosses}: the number of simultaneous voter failures to tolerate; 0 keeps the size of the set. */
     public VotingSetPlanner(
             final NodeId self,
             final VotingConfiguration votingConfiguration,
@@ -92,9 +93,9 @@
                 .thenComparing(Member::id);
     }
 
-    /** Begins to look for changes that are due; {@code authority}: acts only while this node leads. */
-    public void start(final LeaderElection authority) {
-        election = authority;
+    /** Starts the periodic check for changes that are due; changes are made only while this node is the leader. */
+    public void start(final LeaderElection leaderElection) {
+        election = leaderElection;
         votingConfiguration.addListener(() -> lastChangeAt = loop.now());
         loop.scheduleRepeatedly(INTERVAL_MS, this::tick);
     }
@@ -103,7 +104,7 @@
         return member.location().substring(0, member.location().lastIndexOf('/') + 1);
     }
 
-    /** How many present voters are in the same location as this member. */
+    /** The number of present voters that are in the same place as the member; {@code place} gives a location or region. */
     private long voters(final Member member, final Function<Member, String> place) {
         return votingConfiguration.voters().stream()
                 .map(membership::get)
@@ -125,7 +126,7 @@
         }
     }
 
-    /** No change is due: the standby that would be next is brought up to date beforehand. */
+    /** Prepares the standby that would be used for the next change, so that a later change takes less time. */
     private void refreshStandby() {
         if (loop.now() - standbyRefreshedAt >= STANDBY_REFRESH_MS) {
             standbyRefreshedAt = loop.now();
@@ -139,7 +140,7 @@
         }
     }
 
-    /** The next change, if one is due and the present set has taken over. */
+    /** The next change, if one is due and the voters of the present set have answered in its epoch. */
     Optional<SetChange> nextChange() {
         final List<NodeId> leaving = votingConfiguration.voters().stream()
                 .filter(voter -> !voter.equals(self) && condition(voter) == NodeStatus.DRAINING)
@@ -151,33 +152,36 @@
         }
         final List<NodeId> standbys = standbys();
         if (!leaving.isEmpty() || !lost.isEmpty()) {
-            final NodeId out = leaving.isEmpty() ? lost.get(0) : leaving.get(0);
+            final NodeId removed = leaving.isEmpty() ? lost.get(0) : leaving.get(0);
             final String reason = leaving.isEmpty() ? "silent" : "leaving";
             return standbys.isEmpty()
-                    ? shrinkBy(out, reason)
-                    : Optional.of(new SetChange(out, standbys.get(0), reason));
+                    ? shrinkBy(removed, reason)
+                    : Optional.of(new SetChange(removed, standbys.get(0), reason));
         }
-        final boolean rested =
+        final boolean isSettled =
                 loop.now() - lastChangeAt >= MIN_CHANGE_INTERVAL_MS && loop.now() - electedAt >= MIN_CHANGE_INTERVAL_MS;
-        return rested && votingConfiguration.voters().size() < wantedSize(standbys.size()) && !standbys.isEmpty()
+        return isSettled && votingConfiguration.voters().size() < wantedSize(standbys.size()) && !standbys.isEmpty()
                 ? Optional.of(new SetChange(null, standbys.get(0), "size"))
                 : Optional.empty();
     }
 
-    /** Of an even number one that is gone can be spared: the majority needs one less. */
+    /** Without a standby, one voter of an even number is removed, since the majority of the rest is one voter smaller. */
     private Optional<SetChange> shrinkBy(final NodeId leaving, final String reason) {
         final int size = votingConfiguration.voters().size();
         return size > 2 && size % 2 == 0 ? Optional.of(new SetChange(leaving, null, reason)) : Optional.empty();
     }
 
-    /** As many as the losses need, but an odd number and no more than there are. */
+    /**
+     * The number of voters needed to tolerate the configured losses: an odd number, and at most the number of voters and
+     * standbys.
+     */
     private int wantedSize(final int standbys) {
-        final int most = votingConfiguration.voters().size() + standbys;
-        final int odd = most % 2 == 0 ? most - 1 : most;
-        return toleratedLosses.getAsInt() == 0 ? 0 : Math.min(2 * toleratedLosses.getAsInt() + 1, odd);
+        final int available = votingConfiguration.voters().size() + standbys;
+        final int largestOdd = available % 2 == 0 ? available - 1 : available;
+        return toleratedLosses.getAsInt() == 0 ? 0 : Math.min(2 * toleratedLosses.getAsInt() + 1, largestOdd);
     }
 
-    /** Whether every voter that is here has answered in the present epoch. */
+    /** Whether every voter that is neither leaving nor lost has answered in the present epoch. */
     private boolean allJoined(final List<NodeId> leaving, final List<NodeId> lost) {
         return votingConfiguration.voters().stream()
                 .allMatch(voter -> view.hasConfirmed(voter) || leaving.contains(voter) || lost.contains(voter));
@@ -189,8 +193,8 @@
     }
 
     /**
-     * Silence counts from the last heartbeat, and for a voter that was never heard from, from the start of this
-     * leader's term.
+     * Whether the voter has been silent for too long. Silence is measured from the last heartbeat or, for a voter that
+     * is not a known member, from the election of this leader.
      */
     private boolean isLost(final NodeId id) {
         if (id.equals(self) || loop.now() - electedAt < SETTLED_MS) {
@@ -212,7 +216,7 @@
                 .toList();
     }
 
-    /** The standby prepares first, so that the voting set pauses for a moment only. */
+    /** Has the standby prepared before the change is written, so that the voting set is unavailable only briefly. */
     private void prepareChange(final SetChange change) {
         changing = true;
         journal.add(Event.of(
@@ -261,12 +265,14 @@
             next.add(address(change.added()));
         }
         final String body = Json.write(new VotingSet(next, present));
-        final String tag = "voters-" + self + "-" + term + "-" + (epoch + 1) + "-" + loop.now();
+        final String writeId = "voters-" + self + "-" + term + "-" + (epoch + 1) + "-" + loop.now();
         proposer.propose(
                 ItemId.VOTERS,
-                tag,
+                writeId,
                 WRITE_TIMEOUT_MILLIS,
-                now -> now.version().number() == epoch ? Optional.of(now.successor(body, tag)) : Optional.empty(),
+                current -> current.version().number() == epoch
+                        ? Optional.of(current.successor(body, writeId))
+                        : Optional.empty(),
                 reply -> {
                     changing = false;
                     journal.add(Event.of(
@@ -281,7 +287,7 @@
     private String address(final NodeId id) {
         final Member member = membership.get(id);
         return votingConfiguration.addresses().stream()
-                .filter(a -> VoterAddress.parse(a).id().equals(id))
+                .filter(address -> VoterAddress.parse(address).id().equals(id))
                 .findFirst()
                 .orElseGet(() -> new VoterAddress(
                                 id, member == null ? "0.0.0.0" : member.host(), member == null ? 0 : member.port())
--- a/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewServer.java
@@ -22,12 +22,15 @@
 import org.rowanvalve.control.store.ItemPage;
 import org.rowanvalve.control.store.ItemStore;
 
-/** The voters' side of view confirmation: compares another node's items with those accepted here. */
+/** The voter side of view confirmation: compares the items of a requesting node with those accepted by this voter. */
 public final class ViewServer {
+    /** Upper bound of the items that this voter requests in one response. */
     private static final int MAX_WANTED = 200;
+
     private static final long POLL_MS = 10;
     private static final long MAX_WAIT_MS = 300;
-    /** A value that was accepted and was not known as chosen. */
+
+    /** An accepted value that was not known as chosen when the request arrived. */
     private record Accepted(ItemId id, Version version) {}
 
     private final Acceptor acceptor;
@@ -42,7 +45,7 @@
         this.unchosen = new UnchosenValues(acceptor, items);
     }
 
-    /** Answers whether the sender holds all that this voter has accepted. */
+    /** Responds whether the sender has every item that this voter has accepted. */
     public void onDigestRequest(final DigestRequest request, final Consumer<Message> callback) {
         final boolean matches = request.digest() == acceptor.digest().total();
         callback.accept(acceptor.rejection(request.epoch())
@@ -53,11 +56,11 @@
                                 : acceptor.digest().bucketSums(ItemDigest.bucketCount(request.bucketCount())))));
     }
 
-    /** Answers with the items that the sender lacks, once open writes are settled or the time-out has passed. */
+    /** Responds with the items that the sender lacks, after the open writes have completed or the time-out has passed. */
     public void onMissingItemsRequest(final MissingItemsRequest request, final Consumer<Message> callback) {
-        final Optional<Message> refusal = acceptor.rejection(request.epoch());
-        if (refusal.isPresent()) {
-            callback.accept(refusal.get());
+        final Optional<Message> rejection = acceptor.rejection(request.epoch());
+        if (rejection.isPresent()) {
+            callback.accept(rejection.get());
             return;
         }
         awaitOpenWrites(request, openWrites(request), loop.now() + MAX_WAIT_MS, callback);
@@ -69,9 +72,9 @@
         final int bucketCount = ItemDigest.bucketCount(request.bucketCount());
         for (final ItemId id : unchosen.ids()) {
             final Version version = acceptor.version(id);
-            final boolean renewal =
+            final boolean isRenewal =
                     id.equals(ItemId.LEADERSHIP) && items.get(id).version().number() > 0;
-            if (!renewal
+            if (!isRenewal
                     && buckets.contains(ItemDigest.bucket(id, bucketCount))
                     && version.isAbove(request.versions().getOrDefault(id, Version.ZERO))) {
                 open.add(new Accepted(id, version));
@@ -81,8 +84,9 @@
     }
 
     /**
-     * Waits for what was accepted here and not known as chosen when the request came; later writes are not waited for.
-     * All of it has to be settled, so the first one that is not is enough to look at.
+     * Waits for the values in {@code open}, which were accepted by this voter but not known as chosen when the request
+     * arrived; later writes are not waited for. All of these values must be settled, so each poll stops at the first one
+     * that is not.
      */
     private void awaitOpenWrites(
             final MissingItemsRequest request,
@@ -108,10 +112,10 @@
     private void respond(
             final MissingItemsRequest request, final boolean noOpenWrites, final Consumer<Message> callback) {
         final ItemPage page = ItemPage.of(missingItems(request));
-        final boolean all = page.complete()
+        final boolean complete = page.complete()
                 && noOpenWrites
                 && acceptor.rejection(request.epoch()).isEmpty();
-        final List<ItemId> want = request.versions().entrySet().stream()
+        final List<ItemId> wanted = request.versions().entrySet().stream()
                 .filter(entry -> !items.knows(entry.getKey(), entry.getValue())
                         && !items.collectionFloor()
                                 .covers(entry.getKey(), entry.getValue().number())
@@ -119,7 +123,7 @@
                 .map(Map.Entry::getKey)
                 .limit(MAX_WANTED)
                 .toList();
-        callback.accept(new MissingItemsResponse(page.items(), all, want));
+        callback.accept(new MissingItemsResponse(page.items(), complete, wanted));
     }
 
     private List<ChosenItem> missingItems(final MissingItemsRequest request) {
--- a/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
@@ -25,9 +25,9 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Confirms this node's view of the configuration: asks the voters whether it has all items they have accepted, and
- * takes those it lacks. A majority that confirms a request proves that the view was complete when the request was sent,
- * since every chosen item is at one of them at least.
+ * Confirms this node's view of the configuration: asks the voters whether this node has all items that they have
+ * accepted, and learns the missing ones. If a majority of the voters confirms a request, the view was complete when the
+ * request was sent, since every majority includes a voter that has accepted the chosen item.
  */
 public final class ViewSynchronizer {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -45,6 +45,8 @@
     private long previousConfirmation = NEVER;
     private static final long INTERVAL_MS = 300;
     private static final long STARTUP_MS = 6000;
+    private static final long LEARN_TIMEOUT_MS = 500;
+    private static final long POLL_MS = 10;
     private boolean wasFresh;
     private long staleSince;
     private int ticks;
@@ -74,8 +76,8 @@
     }
 
     /**
-     * What the earlier voters confirmed stays valid for its time; their answers do not count among those of the new
-     * set.
+     * A confirmation by a majority of the previous voters stays valid until it expires. Confirmations by individual
+     * previous voters do not count towards a majority of the new voting set.
      */
     private void onVotingSetChange() {
         previousConfirmation = Math.max(previousConfirmation, majorityConfirmedAt());
@@ -85,17 +87,17 @@
         loop.execute(this::poll);
     }
 
-    /** From now on a view counts as confirmed for as long as these time-outs say. */
-    public void timings(final LeaseTimings next) {
-        timings = next;
+    /** Replaces the timings, which determine how long a view stays fresh after its confirmation. */
+    public void timings(final LeaseTimings newTimings) {
+        timings = newTimings;
     }
 
-    /** How old a confirmation may be for the view to be fresh. */
+    /** The maximum age of a confirmation, in ms, at which the view is fresh. */
     public long maxAgeMs() {
         return timings.maxViewAgeMs();
     }
 
-    /** Begins to ask the voters. */
+    /** Starts the periodic requests to the voters. */
     public void start() {
         staleSince = loop.now();
         loop.execute(this::poll);
@@ -103,8 +105,8 @@
     }
 
     /**
-     * The voters are asked more often for a while after a start or a loss of confirmation, so that service is back
-     * soon.
+     * Asks the voters every {@link #INTERVAL_MS}, and three times as often during the first {@link #STARTUP_MS} without
+     * a fresh view, so that the node resumes service soon after a start or a loss of confirmation.
      */
     private void tick() {
         if (isFresh()) {
@@ -116,12 +118,12 @@
         }
     }
 
-    /** Asks every voter, whether the view is fresh or not; one that has a question open, once that has ended. */
+    /** Asks every voter, whether the view is fresh or not; a voter with an open request is asked after it has ended. */
     public void poll() {
-        final boolean now = isFresh();
-        if (now != wasFresh) {
-            wasFresh = now;
-            journal.add(Event.of(now ? EventCode.FRAME_FRESH : EventCode.FRAME_STALE, "age", now ? ageMs() : -1));
+        final boolean fresh = isFresh();
+        if (fresh != wasFresh) {
+            wasFresh = fresh;
+            journal.add(Event.of(fresh ? EventCode.FRAME_FRESH : EventCode.FRAME_STALE, "age", fresh ? ageMs() : -1));
         }
         queries.values().forEach(VoterQuery::ask);
     }
@@ -132,10 +134,11 @@
         quorum.voters()
                 .forEach(voter -> queries.put(
                         voter,
-                        new VoterQuery(voter, quorum.epoch(), loop, transport, items, waitReport, new Answers())));
+                        new VoterQuery(
+                                voter, quorum.epoch(), loop, transport, items, waitReport, new ResponseHandler())));
     }
 
-    private final class Answers implements VoterQuery.Listener {
+    private final class ResponseHandler implements VoterQuery.Listener {
         @Override
         public void onReply(final NodeId voter, final Reply reply) {
             votingConfiguration.isEpochMismatch(voter, reply);
@@ -153,7 +156,7 @@
                         voter,
                         new LearnNotification(ItemPage.of(items.chosenItems(response.wanted()))
                                 .items()),
-                        500,
+                        LEARN_TIMEOUT_MS,
                         ignored -> {});
             }
         }
@@ -170,12 +173,12 @@
         }
     }
 
-    /** The latest instant for which a majority has confirmed this node's view. */
+    /** The latest time for which a majority has confirmed this node's view, in ms of the monotonic clock. */
     public long confirmedAt() {
         return Math.max(previousConfirmation, majorityConfirmedAt());
     }
 
-    /** Whether a majority of the present voting set has confirmed a view of this node since that set began. */
+    /** Whether a majority of the present voting set has confirmed the view of this node in the present epoch. */
     public boolean isConfirmedInEpoch() {
         return majorityConfirmedAt() > NEVER;
     }
@@ -194,23 +197,26 @@
         return times.get(quorum.majority() - 1);
     }
 
-    /** Time since the latest instant for which a majority has confirmed this node's view, in ms. */
+    /** The time since {@link #confirmedAt}, in ms. */
     public long ageMs() {
         return loop.now() - confirmedAt();
     }
 
-    /** Whether the view is young enough to serve what a purge or a change of configuration could concern. */
+    /** Whether the view is recent enough to serve content that a purge or a change of configuration could affect. */
     public boolean isFresh() {
         return ageMs() < timings.maxViewAgeMs();
     }
 
-    /** Discards all confirmations, as after a pause of the process. */
+    /** Discards all confirmations, for example after a pause of the process. */
     public void reset() {
         confirmedBy.clear();
         previousConfirmation = NEVER;
     }
 
-    /** The callback gets true once a majority has confirmed the view for an instant not before {@code since}. */
+    /**
+     * Calls {@code callback} with true once a majority has confirmed the view for {@code since} or later, or with false
+     * after the time-out.
+     */
     public void awaitConfirmation(final long since, final long timeoutMs, final Consumer<Boolean> callback) {
         poll();
         checkConfirmation(since, loop.now() + timeoutMs, callback);
@@ -220,7 +226,7 @@
         if (confirmedAt() >= since || loop.now() >= deadline) {
             callback.accept(confirmedAt() >= since);
         } else {
-            loop.schedule(10, () -> checkConfirmation(since, deadline, callback));
+            loop.schedule(POLL_MS, () -> checkConfirmation(since, deadline, callback));
         }
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/view/ViewWaitReport.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewWaitReport.java
@@ -6,7 +6,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.store.ItemStore;
 
-/** Reports what a node does while its view is not confirmed. */
+/** Reports the requests and received items of a node while its view is not confirmed. */
 final class ViewWaitReport {
     private static final long REPORT_INTERVAL_MS = 2000;
     private final EventLoop loop;
@@ -36,7 +36,7 @@
         receivedItems += count;
     }
 
-    /** Called again and again; {@code fresh}: whether the view is confirmed. */
+    /** Called periodically; {@code fresh}: whether the view is confirmed. */
     void onTick(final boolean fresh) {
         if (fresh || lastReportAt == 0) {
             lastReportAt = loop.now();
--- a/control/src/main/java/org/rowanvalve/control/view/VoterQuery.java
+++ b/control/src/main/java/org/rowanvalve/control/view/VoterQuery.java
@@ -15,18 +15,18 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * One node's questions to one voter of one epoch: whether it lacks items, and if so, which. One question is open at a
- * time, however many callers wait for it, so that a busy voter does not get more to answer the later it answers. Who
- * asks meanwhile is served by one further question, sent when the open one has ended; a question that is not answered
- * for a while does not hold up the next digest, which is small.
+ * The requests of one node to one voter of one epoch, which find out whether the node lacks items and fetch them. Only
+ * one request is open at a time, however many callers wait for it, so that the load of a slow voter does not grow with
+ * its response time. Calls during an open request share one further request, which is sent after the open one has
+ * ended. A request that remains unanswered for {@link #OVERDUE_MS} does not delay the next digest, which is small.
  */
 final class VoterQuery {
     private static final long DIGEST_TIMEOUT_MILLIS = 700;
     private static final long ITEMS_TIMEOUT_MILLIS = 1000;
-    /** After this time without an answer a further digest is sent. */
+    /** If a request is not answered within this time, a further digest request may be sent. */
     private static final long OVERDUE_MS = 300;
 
-    /** How many versions one request names, about. */
+    /** The approximate upper bound of the item versions in one request. */
     private static final long MAX_VERSIONS = 16_384;
 
     private final NodeId voter;
@@ -36,20 +36,20 @@
     private final ItemStore items;
     private final ViewWaitReport report;
     private final Listener listener;
-    private long newest;
+    private long lastRequestId;
     private long askedAt;
     private boolean open;
     private boolean itemsOpen;
     private boolean askAgain;
     private boolean cancelled;
 
-    /** What the answers say. */
+    /** Receives the results of the requests. */
     interface Listener {
         void onReply(NodeId voter, Reply reply);
 
         void onItems(NodeId voter, MissingItemsResponse response);
 
-        /** The node held all that the voter had accepted at {@code sentAt}. */
+        /** Called when the node had every item that the voter had accepted at {@code sentAt}. */
         void onConfirmed(NodeId voter, long epoch, long sentAt);
     }
 
@@ -70,12 +70,12 @@
         this.listener = listener;
     }
 
-    /** No further question is sent. */
+    /** Prevents further requests. */
     void cancel() {
         cancelled = true;
     }
 
-    /** Asks now, or as soon as the open question has ended. */
+    /** Sends a digest request now, or after the open request has ended. */
     void ask() {
         if (cancelled) {
             return;
@@ -87,17 +87,17 @@
         open = true;
         askAgain = false;
         askedAt = loop.now();
-        sendDigest(++newest);
+        sendDigest(++lastRequestId);
     }
 
-    private void sendDigest(final long question) {
+    private void sendDigest(final long requestId) {
         final long sentAt = loop.now();
         report.onQuery();
         transport.request(voter, digestRequest(), DIGEST_TIMEOUT_MILLIS, reply -> {
             report.onAnswer();
             listener.onReply(voter, reply);
             reply.as(DigestResponse.class)
-                    .ifPresentOrElse(response -> onDigest(question, sentAt, response), () -> onEnd(question));
+                    .ifPresentOrElse(response -> onDigest(requestId, sentAt, response), () -> onEnd(requestId));
         });
     }
 
@@ -106,29 +106,32 @@
         return new DigestRequest(epoch, items.digest().total(), buckets == ItemDigest.BUCKETS ? null : buckets);
     }
 
-    /** Buckets that did not differ were equal after the request was sent, so its send time counts for all. */
-    private void onDigest(final long question, final long sentAt, final DigestResponse response) {
+    /**
+     * Compares the checksums of the buckets. Buckets that do not differ were equal after the digest request was sent, so
+     * the send time of that request is valid for all buckets once the differing ones have been fetched.
+     */
+    private void onDigest(final long requestId, final long sentAt, final DigestResponse response) {
         final int bucketCount =
                 response.matches() ? ItemDigest.BUCKETS : response.bucketSums().size();
         if (!ItemDigest.isBucketCount(bucketCount)) {
-            onEnd(question);
+            onEnd(requestId);
             return;
         }
         final List<Integer> differing =
                 response.matches() ? List.of() : items.digest().differingBuckets(response.bucketSums());
         if (differing.isEmpty()) {
             listener.onConfirmed(voter, epoch, sentAt);
-            onEnd(question);
+            onEnd(requestId);
         } else if (itemsOpen) {
-            open &= question != newest;
+            open &= requestId != lastRequestId;
             askAgain = true;
         } else {
-            requestItems(question, sentAt, differing, bucketCount);
+            requestItems(requestId, sentAt, differing, bucketCount);
         }
     }
 
     private void requestItems(
-            final long question, final long sentAt, final List<Integer> differing, final int bucketCount) {
+            final long requestId, final long sentAt, final List<Integer> differing, final int bucketCount) {
         itemsOpen = true;
         report.onQuery();
         final List<Integer> buckets = bucketsOfOneRequest(differing, bucketCount);
@@ -155,24 +158,24 @@
                             askAgain = true;
                         }
                     });
-                    onEnd(question);
+                    onEnd(requestId);
                 });
     }
 
-    /** Buckets whose versions fit into a message, beginning at another one each time. */
+    /** Selects buckets whose versions fit into one message, starting at a different bucket for each request. */
     private List<Integer> bucketsOfOneRequest(final List<Integer> differing, final int bucketCount) {
-        final int most = (int)
+        final int maxBuckets = (int)
                 Math.max(1, bucketCount * MAX_VERSIONS / Math.max(1, items.all().size()));
-        if (differing.size() <= most) {
+        if (differing.size() <= maxBuckets) {
             return differing;
         }
         final List<Integer> rotated = new ArrayList<>(differing);
-        Collections.rotate(rotated, (int) (newest % rotated.size()));
-        return rotated.subList(0, most);
+        Collections.rotate(rotated, (int) (lastRequestId % rotated.size()));
+        return rotated.subList(0, maxBuckets);
     }
 
-    private void onEnd(final long question) {
-        open &= question != newest;
+    private void onEnd(final long requestId) {
+        open &= requestId != lastRequestId;
         if (!open && askAgain && !itemsOpen) {
             ask();
         }
--- a/control/src/main/java/org/rowanvalve/control/view/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/view/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Confirmation of a node's view: a majority of acceptors says that a node holds all they had accepted when it asked.
- * Purges, leaving origins, configuration and every answer to an operator rest on this, never on pushed updates.
+ * Confirmation of a node's view: a majority of the acceptors confirms that a node has every item that they had accepted
+ * when the node sent its request. Purges, leaving origins, configuration and all responses to operators rely on this
+ * confirmation, never on pushed updates.
  *
  * <p>Depends on {@code control.consensus}, {@code control.store} and {@code control.voting}.
  */
--- a/control/src/main/java/org/rowanvalve/control/voting/Quorum.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/Quorum.java
@@ -5,8 +5,8 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * The voters of one epoch, and which of them are stores; where none is named, every voter has a disk. Answers that were
- * given in different epochs never count together.
+ * The voters of one epoch, and the subset of them that are stores. If {@code stores} is empty, every voter has a disk.
+ * Responses from different epochs are never counted together.
  */
 public record Quorum(long epoch, List<NodeId> voters, Set<NodeId> stores) {
     public Quorum {
@@ -19,17 +19,20 @@
         this(0, voters, stores);
     }
 
-    /** The number of voters that is more than half of them. */
+    /** The least number of voters that is more than half of them. */
     public int majority() {
         return voters.size() / 2 + 1;
     }
 
-    /** Whether these responses meet every write quorum. */
+    /** Whether these voters intersect every write quorum. */
     public boolean isReadQuorum(final Set<NodeId> responded) {
         return responded.size() >= majority();
     }
 
-    /** Whether what these voters synced is chosen: a majority, and among them a store where stores are named. */
+    /**
+     * Whether a value that these voters have synced is chosen: they must be a majority and, if {@code stores} is not
+     * empty, include at least one store.
+     */
     public boolean isWriteQuorum(final Set<NodeId> responded) {
         return responded.size() >= majority()
                 && (stores.isEmpty() || responded.stream().anyMatch(stores::contains));
--- a/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
@@ -11,8 +11,8 @@
 import org.rowanvalve.common.runtime.EventLoop;
 
 /**
- * Which stores are heard from: what is accepted is synced at both, or at one once the other has been silent for a
- * while.
+ * Tracks which stores respond. A write waits until every store has synced it, except for stores that have been silent
+ * for {@link #SILENCE_TIMEOUT_MILLIS}.
  */
 public final class StoreHealth {
     public static final long SILENCE_TIMEOUT_MILLIS = 400;
@@ -29,37 +29,42 @@
         this.journal = journal;
     }
 
-    /** {@code waited}: how long the stores that are not among {@code synced} have been waited for. */
+    /**
+     * Whether every store is either in {@code synced} or marked as silent. Marks stores as silent that are not in
+     * {@code synced} and have been waited for or have missed messages for {@link #SILENCE_TIMEOUT_MILLIS};
+     * {@code waited} is the time in ms since the request was sent.
+     */
     public boolean allReachableSynced(final Set<NodeId> synced, final long waited) {
         stores.stream()
-                .filter(s -> !synced.contains(s)
+                .filter(store -> !synced.contains(store)
                         && (waited >= SILENCE_TIMEOUT_MILLIS
-                                || loop.now() - firstMissedAt.getOrDefault(s, loop.now()) >= SILENCE_TIMEOUT_MILLIS))
+                                || loop.now() - firstMissedAt.getOrDefault(store, loop.now())
+                                        >= SILENCE_TIMEOUT_MILLIS))
                 .forEach(this::markSilent);
-        return stores.stream().allMatch(s -> synced.contains(s) || silent.contains(s));
+        return stores.stream().allMatch(store -> synced.contains(store) || silent.contains(store));
     }
 
-    /** By its own report, or by ours. */
+    /** Marks a store as silent: it has reported that its disk is unavailable, or this node has waited too long. */
     public void markSilent(final NodeId store) {
         if (stores.contains(store) && silent.add(store)) {
             journal.add(Event.of(EventCode.STORE_SILENT, "store", store.text()));
         }
     }
 
-    /** A message sent at {@code at} was not answered; heartbeats count too. */
+    /** Records that a message, such as a heartbeat, sent at {@code at} was not answered. */
     public void recordMissed(final NodeId from, final long at) {
         if (lastHeardAt.getOrDefault(from, Long.MIN_VALUE) < at) {
             firstMissedAt.putIfAbsent(from, at);
         }
     }
 
-    /** Anything was received from this node. */
+    /** Records that a message was received from this node. */
     public void recordContact(final NodeId from) {
         firstMissedAt.remove(from);
         lastHeardAt.put(from, loop.now());
     }
 
-    /** The store synced something for this node. */
+    /** Records that the store has synced a write of this node; the store is no longer silent. */
     public void recordSync(final NodeId from) {
         recordContact(from);
         if (silent.remove(from)) {
@@ -71,7 +76,7 @@
         return stores.contains(id);
     }
 
-    /** Stores that are no longer waited for. */
+    /** The stores that writes do not wait for. */
     public Set<NodeId> silent() {
         return Set.copyOf(silent);
     }
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingConfiguration.java
@@ -13,8 +13,8 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * The voting set that this node goes by. It begins as the founding set and only moves forward, to a later set that was
- * chosen by ballot of the set before it.
+ * The voting set that this node uses. It is initially the founding set and is only ever replaced by a later set, which
+ * the voters of the preceding set have chosen by ballot.
  */
 public final class VotingConfiguration {
     private final List<Runnable> listeners = new ArrayList<>();
@@ -24,7 +24,7 @@
     private Consumer<ChosenItem> learner = this::adopt;
     private BiConsumer<NodeId, ChosenItem> teacher = (recipient, set) -> {};
 
-    /** {@code addresses}: the founding voters as {@code ID@IP:PORT}; empty where they are reached by other means. */
+    /** {@code addresses}: the founding voters as {@code ID@IP:PORT}; empty if they are reached by other means. */
     public VotingConfiguration(final Quorum founding, final List<String> addresses) {
         this.quorum = founding;
         this.addresses = List.copyOf(addresses);
@@ -35,15 +35,15 @@
     }
 
     /**
-     * How a later set is distributed: {@code learnSet} takes it in here, {@code teachSet} sends it to a node that lacks
-     * it.
+     * Sets how a later voting set is propagated: {@code learnSet} merges it into this node's items, {@code teachSet}
+     * sends it to a node that has an earlier set.
      */
     public void connectPeers(final Consumer<ChosenItem> learnSet, final BiConsumer<NodeId, ChosenItem> teachSet) {
         learner = learnSet;
         teacher = teachSet;
     }
 
-    /** Goes by the latest set that this node has learned. */
+    /** Adopts each later voting set that is added to {@code items}. */
     public void followStore(final ItemStore items) {
         items.addListener(item -> {
             if (item.id().equals(ItemId.VOTERS)) {
@@ -75,7 +75,7 @@
         return addresses;
     }
 
-    /** The chosen item that names the present voters; empty while the founding set votes. */
+    /** The chosen item that contains the present voting set; empty while the founding set is in use. */
     public Optional<ChosenItem> chosenSet() {
         return Optional.ofNullable(chosenSet);
     }
@@ -85,12 +85,12 @@
         return chosenSet == null ? List.of() : VotingSet.of(chosenSet.item()).previousVoterIds();
     }
 
-    /** {@code listener} runs after each change of the voting set, in the event loop. */
+    /** Adds a listener that runs in the event loop after each change of the voting set. */
     public void addListener(final Runnable listener) {
         listeners.add(listener);
     }
 
-    /** Moves to a chosen set where it is later than the present one. */
+    /** Replaces the present voting set if {@code set} is later. Does nothing if the founding set has stores. */
     public void adopt(final ChosenItem set) {
         if (!set.item().id().equals(ItemId.VOTERS)
                 || set.item().version().number() <= quorum.epoch()
@@ -104,19 +104,19 @@
         listeners.forEach(Runnable::run);
     }
 
-    /** A voter's answer to a message of another epoch than its own. */
+    /** The response of a voter to a message of a different epoch. */
     public EpochMismatchResponse epochMismatch() {
         return new EpochMismatchResponse(epoch(), chosenSet);
     }
 
-    /** Whether a voter refused the epoch of a message; whichever side is behind gets the later set. */
+    /** Whether a voter rejected a message because of its epoch. If so, the node with the earlier set gets the later one. */
     public boolean isEpochMismatch(final NodeId from, final Reply reply) {
-        final Optional<EpochMismatchResponse> other = reply.as(EpochMismatchResponse.class);
-        other.ifPresent(o -> reconcile(from, o.epoch(), o.votingSet()));
-        return other.isPresent();
+        final Optional<EpochMismatchResponse> response = reply.as(EpochMismatchResponse.class);
+        response.ifPresent(mismatch -> reconcile(from, mismatch.epoch(), mismatch.votingSet()));
+        return response.isPresent();
     }
 
-    /** Compares what another node knows with what is known here. */
+    /** Compares the epoch of another node with that of this node, and gives the later set to the node that lacks it. */
     public void reconcile(final NodeId from, final long epoch, final ChosenItem set) {
         if (epoch > epoch() && set != null) {
             learner.accept(set);
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingSet.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingSet.java
@@ -6,8 +6,9 @@
 import org.rowanvalve.control.json.Json;
 
 /**
- * The body of the register that names the voters; its version is the epoch. {@code previous} names the set of the epoch
- * before, whose majority each new voter reads before its first vote. All are written {@code ID@IP:PORT}.
+ * The body of the register that contains the voting set; the version of the register is the epoch. {@code previous} is
+ * the voting set of the preceding epoch: a voter reads a majority of it before it votes in the new epoch. Voters are
+ * written as {@code ID@IP:PORT}.
  */
 public record VotingSet(List<String> voters, List<String> previous) {
     public VotingSet {
@@ -15,7 +16,7 @@
         previous = List.copyOf(previous);
     }
 
-    /** The voting set of the register's value. */
+    /** Parses the voting set from the value of the register. */
     public static VotingSet of(final Item item) {
         return Json.read(item.body(), VotingSet.class);
     }
@@ -29,6 +30,8 @@
     }
 
     static List<NodeId> voterIds(final List<String> addresses) {
-        return addresses.stream().map(a -> VoterAddress.parse(a).id()).toList();
+        return addresses.stream()
+                .map(address -> VoterAddress.parse(address).id())
+                .toList();
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/VotingSetSearch.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Searches for a later voting set while this node's view is not confirmed: asks seeds and members who votes. */
+/** Asks seeds and members for a later voting set while the view of this node is not confirmed. */
 public final class VotingSetSearch {
     private static final long INTERVAL_MS = 300;
     private static final int MEMBERS_PER_ROUND = 8;
@@ -41,7 +41,7 @@
         this.viewFresh = viewFresh;
     }
 
-    /** Begins to search whenever the view is not confirmed. */
+    /** Starts a periodic search, which asks other nodes only while the view is not confirmed. */
     public void start() {
         loop.scheduleRepeatedly(INTERVAL_MS, () -> {
             if (!viewFresh.getAsBoolean()) {
@@ -50,30 +50,30 @@
         });
     }
 
-    /** From now on these seeds are asked. */
-    public void seeds(final List<NodeId> list) {
-        seeds = new LinkedHashSet<>(list);
+    /** Replaces the seeds that are asked. */
+    public void seeds(final List<NodeId> newSeeds) {
+        seeds = new LinkedHashSet<>(newSeeds);
     }
 
     public Set<NodeId> seeds() {
         return seeds;
     }
 
-    /** All seeds, and some of the members in turn. */
+    /** Asks all seeds, and up to {@link #MEMBERS_PER_ROUND} of the members in rotation. */
     private void askForVotingSet() {
-        final Set<NodeId> asked = new LinkedHashSet<>(seeds);
-        final List<NodeId> known = members.get();
-        for (int i = 0; i < Math.min(MEMBERS_PER_ROUND, known.size()); i++) {
-            asked.add(known.get(nextMember++ % known.size()));
+        final Set<NodeId> recipients = new LinkedHashSet<>(seeds);
+        final List<NodeId> knownMembers = members.get();
+        for (int i = 0; i < Math.min(MEMBERS_PER_ROUND, knownMembers.size()); i++) {
+            recipients.add(knownMembers.get(nextMember++ % knownMembers.size()));
         }
-        asked.remove(self);
-        asked.forEach(node -> transport.request(
+        recipients.remove(self);
+        recipients.forEach(node -> transport.request(
                 node,
                 new VotersRequest(),
                 INTERVAL_MS,
                 reply -> reply.as(VotersResponse.class)
-                        .filter(s -> s.votingSet() != null)
-                        .ifPresent(s -> votingConfiguration.reconcile(
-                                node, s.votingSet().item().version().number(), s.votingSet()))));
+                        .filter(response -> response.votingSet() != null)
+                        .ifPresent(response -> votingConfiguration.reconcile(
+                                node, response.votingSet().item().version().number(), response.votingSet()))));
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/voting/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The voting configuration: which nodes vote in which epoch, what counts as a quorum of them, where they are reached,
- * and how a node finds a later set. The set itself is a register whose version is its epoch.
+ * The voting configuration: the voters of each epoch, their quorums and addresses, and the search for a later voting
+ * set. The voting set itself is stored in a register, whose version is the epoch.
  *
  * <p>Depends on {@code control.json} and {@code control.store}.
  */
--- a/control/src/test/java/org/rowanvalve/control/consensus/UnfinishedWriteRecoveryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/consensus/UnfinishedWriteRecoveryTest.java
@@ -25,76 +25,80 @@
 import org.rowanvalve.control.VirtualTimeLoop;
 import org.rowanvalve.control.store.ItemStore;
 
-/** After a loss of all power: hundreds of values that were accepted, and nobody knows which of them were chosen. */
+/**
+ * Tests recovery after a power failure of all nodes: a voter has hundreds of accepted values and no node knows which of
+ * them are chosen.
+ */
 class UnfinishedWriteRecoveryTest {
     private static final int ITEMS = 500;
-    private static final long ROUND_TRIPS_MS = 150;
+    private static final long DEFAULT_READ_MS = 150;
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
     private final ItemStore items = new ItemStore(loop, new EventJournal(loop, 10));
-    private final Map<ItemId, Register> slots = new TreeMap<>();
-    private final List<ItemId> begun = new ArrayList<>();
-    private final Set<ItemId> open = new HashSet<>();
-    private int most;
+    private final Map<ItemId, Register> registers = new TreeMap<>();
+    private final List<ItemId> startedReads = new ArrayList<>();
+    private final Set<ItemId> openReads = new HashSet<>();
+    private int maxOpenReads;
     private int comparisons;
     private int differing = ITEMS + 1;
-    private long compareMs;
-    private long readMs = ROUND_TRIPS_MS;
+    private long comparisonMs;
+    private long readMs = DEFAULT_READ_MS;
 
-    private void accepted(final ItemId id) {
+    private void accept(final ItemId id) {
         accept(id, 1);
     }
 
     private void accept(final ItemId id, final long version) {
         final Ballot ballot = new Ballot(version, "w");
-        slots.put(id, new Register(ballot, ballot, new Item(id, new Version(version), "{}", false, "t")));
+        registers.put(id, new Register(ballot, ballot, new Item(id, new Version(version), "{}", false, "t")));
     }
 
     private void announce(final ItemId id) {
-        items.merge(new ChosenItem(slots.get(id).acceptedBallot(), slots.get(id).item()));
+        items.merge(new ChosenItem(
+                registers.get(id).acceptedBallot(), registers.get(id).item()));
     }
 
     private void read(final ItemId id, final Consumer<Boolean> done) {
-        assertTrue(open.add(id), "twice at a time: " + id);
-        begun.add(id);
-        most = Math.max(most, open.size());
+        assertTrue(openReads.add(id), "concurrent reads of " + id);
+        startedReads.add(id);
+        maxOpenReads = Math.max(maxOpenReads, openReads.size());
         loop.schedule(readMs, () -> {
-            open.remove(id);
+            openReads.remove(id);
             announce(id);
             done.accept(true);
         });
     }
 
-    /** All values but the {@code differing} first ones are accepted by all voters alike. */
+    /** Simulates a comparison in which all voters have accepted the same values, except for the first {@code differing}. */
     private void compare(final Consumer<Collection<ItemId>> examined) {
         comparisons++;
-        loop.schedule(compareMs, () -> {
-            slots.values().stream()
+        loop.schedule(comparisonMs, () -> {
+            registers.values().stream()
                     .skip(differing)
-                    .forEach(slot -> items.merge(new ChosenItem(slot.acceptedBallot(), slot.item())));
-            examined.accept(List.copyOf(slots.keySet()));
+                    .forEach(register -> items.merge(new ChosenItem(register.acceptedBallot(), register.item())));
+            examined.accept(List.copyOf(registers.keySet()));
         });
     }
 
-    private void start(final int rank) {
+    private void acceptAllAndStart(final int rank) {
         for (int i = 0; i < ITEMS; i++) {
-            accepted(new ItemId(ItemKind.PURGE, "h." + (1000 + i)));
+            accept(new ItemId(ItemKind.PURGE, "h." + (1000 + i)));
         }
-        accepted(ItemId.LEADERSHIP);
-        begin(rank);
+        accept(ItemId.LEADERSHIP);
+        startRecovery(rank);
     }
 
     private List<ItemId> unchosen() {
-        return slots.entrySet().stream()
-                .filter(slot ->
-                        !items.knows(slot.getKey(), slot.getValue().item().version()))
+        return registers.entrySet().stream()
+                .filter(entry ->
+                        !items.knows(entry.getKey(), entry.getValue().item().version()))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    private void begin(final int rank) {
+    private void startRecovery(final int rank) {
         new UnfinishedWriteRecovery(
                         () -> true,
-                        () -> slots,
+                        () -> registers,
                         this::unchosen,
                         items,
                         this::read,
@@ -103,99 +107,105 @@
                         new Random(1),
                         () -> rank,
                         new EventJournal(loop, 10),
-                        UnfinishedWriteRecovery.FEW_VALUES)
+                        UnfinishedWriteRecovery.COMPARISON_THRESHOLD)
                 .start();
     }
 
     @Test
-    void aBoundedNumberIsReadAtATimeAndEachOnce() {
-        start(0);
+    void concurrentReadsAreBoundedAndEachValueIsReadOnce() {
+        acceptAllAndStart(0);
         loop.run(3000);
-        assertEquals(ITEMS + 1, begun.size());
-        assertEquals(ITEMS + 1, new HashSet<>(begun).size());
-        assertEquals(UnfinishedWriteRecovery.MAX_CONCURRENT_READS, most);
-        assertTrue(open.isEmpty());
+        assertEquals(ITEMS + 1, startedReads.size());
+        assertEquals(ITEMS + 1, new HashSet<>(startedReads).size());
+        assertEquals(UnfinishedWriteRecovery.MAX_CONCURRENT_READS, maxOpenReads);
+        assertTrue(openReads.isEmpty());
     }
 
     @Test
-    void whatAllVotersAcceptedAlikeIsNotReadByBallot() {
+    void valuesThatAllVotersAcceptedAreNotReadByBallot() {
         differing = 3;
-        compareMs = 40;
-        start(0);
+        comparisonMs = 40;
+        acceptAllAndStart(0);
         loop.run(3000);
-        assertEquals(4, begun.size(), "those, and the leadership, which waits for no comparison");
-        assertTrue(
-                slots.keySet().stream().allMatch(id -> items.get(id).version().number() == 1));
+        assertEquals(
+                4,
+                startedReads.size(),
+                "the three differing values, and the leadership, which waits for no comparison");
+        assertTrue(registers.keySet().stream()
+                .allMatch(id -> items.get(id).version().number() == 1));
     }
 
     @Test
-    void aFewValuesAreReadAtOnce() {
-        for (int i = 0; i < UnfinishedWriteRecovery.FEW_VALUES; i++) {
-            accepted(new ItemId(ItemKind.PURGE, "h." + i));
+    void aSmallNumberOfValuesIsReadWithoutComparison() {
+        for (int i = 0; i < UnfinishedWriteRecovery.COMPARISON_THRESHOLD; i++) {
+            accept(new ItemId(ItemKind.PURGE, "h." + i));
         }
-        begin(0);
+        startRecovery(0);
         loop.run(10);
-        assertEquals(UnfinishedWriteRecovery.FEW_VALUES, begun.size());
+        assertEquals(UnfinishedWriteRecovery.COMPARISON_THRESHOLD, startedReads.size());
         assertEquals(0, comparisons);
     }
 
     @Test
-    void writesThatAreUnderWayAreNotCompared() {
-        begin(0);
+    void writesInProgressAreNotCompared() {
+        startRecovery(0);
         for (int i = 0; i < ITEMS; i++) {
-            accepted(new ItemId(ItemKind.PURGE, "h." + i));
+            accept(new ItemId(ItemKind.PURGE, "h." + i));
         }
         loop.run(140);
         assertEquals(0, comparisons);
         loop.run(400);
-        assertTrue(comparisons > 0, "their proposer has gone");
+        assertTrue(comparisons > 0, "writes of a failed proposer are compared");
     }
 
-    /** The read of an earlier write ends after that write has become known, and is no reason to hurry with the next. */
+    /**
+     * Guards against an early read of a later write: the read of an earlier write ends after that write has become known
+     * as chosen, and must not schedule another read.
+     */
     @Test
-    void aReadThatEndsLateDoesNotHurryTheReadOfALaterWrite() {
+    void aReadThatEndsLateDoesNotScheduleAReadOfALaterWrite() {
         final ItemId id = new ItemId(ItemKind.PURGE, "h.1");
         accept(id, 1);
         readMs = 300;
-        begin(0);
+        startRecovery(0);
         loop.schedule(100, () -> announce(id));
         loop.run(5000);
-        assertEquals(List.of(id), begun);
+        assertEquals(List.of(id), startedReads);
         accept(id, 2);
         loop.schedule(140, () -> announce(id));
         loop.run(1000);
-        assertEquals(List.of(id), begun, "the second write was merely under way");
+        assertEquals(List.of(id), startedReads, "the second write completed without a read");
     }
 
-    /** No other voter answers a comparison: after a while the values are read all the same. */
+    /** If no other voter answers the comparison, the values are read by ballot after a time-out. */
     @Test
-    void aComparisonThatNobodyAnswersDoesNotHoldUpTheReadsForEver() {
-        compareMs = 1_000_000;
-        start(0);
+    void anUnansweredComparisonDelaysReadsOnlyForAWhile() {
+        comparisonMs = 1_000_000;
+        acceptAllAndStart(0);
         loop.run(1500);
-        assertEquals(List.of(ItemId.LEADERSHIP), begun);
+        assertEquals(List.of(ItemId.LEADERSHIP), startedReads);
         loop.run(4000);
-        assertEquals(ITEMS + 1, begun.size());
+        assertEquals(ITEMS + 1, startedReads.size());
     }
 
     @Test
-    void whatTheAuthorityNeedsComesFirst() {
-        start(0);
+    void leadershipIsReadFirst() {
+        acceptAllAndStart(0);
         loop.run(10);
-        assertEquals(ItemId.LEADERSHIP, begun.get(0));
+        assertEquals(ItemId.LEADERSHIP, startedReads.get(0));
     }
 
     @Test
-    void twoVotersBeginAtDifferentEnds() {
-        start(0);
+    void votersOfEvenAndOddRankStartAtOppositeEnds() {
+        acceptAllAndStart(0);
         loop.run(60);
-        assertEquals(UnfinishedWriteRecovery.MAX_CONCURRENT_READS, begun.size());
-        final Set<ItemId> first = new HashSet<>(begun);
+        assertEquals(UnfinishedWriteRecovery.MAX_CONCURRENT_READS, startedReads.size());
+        final Set<ItemId> first = new HashSet<>(startedReads);
         final UnfinishedWriteRecoveryTest second = new UnfinishedWriteRecoveryTest();
-        second.start(1);
+        second.acceptAllAndStart(1);
         second.loop.run(300);
-        first.retainAll(second.begun);
+        first.retainAll(second.startedReads);
         assertEquals(Set.of(ItemId.LEADERSHIP), first);
-        assertFalse(second.begun.isEmpty());
+        assertFalse(second.startedReads.isEmpty());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/view/ViewSynchronizerTest.java
+++ b/control/src/test/java/org/rowanvalve/control/view/ViewSynchronizerTest.java
@@ -19,52 +19,52 @@
 
 class ViewSynchronizerTest {
     private final VoterFixture net = new VoterFixture();
-    private final List<Boolean> heard = new ArrayList<>();
+    private final List<Boolean> results = new ArrayList<>();
 
     @Test
-    void onlyAConfirmationOfAQuestionSentSinceCounts() {
+    void onlyRequestsSentAfterTheCallConfirmTheView() {
         net.confirm();
         assertTrue(net.view.isFresh());
-        net.view.awaitConfirmation(net.loop.now(), 500, heard::add);
-        assertEquals(List.of(), heard);
+        net.view.awaitConfirmation(net.loop.now(), 500, results::add);
+        assertEquals(List.of(), results);
         net.loop.run(20);
-        assertEquals(List.of(true), heard);
+        assertEquals(List.of(true), results);
     }
 
-    /** Hundreds of requests that wait for the view must not each ask the voters, who have to answer all the more. */
+    /** Guards against an overload of the voters: callers that wait for the view must share requests to a voter. */
     @Test
-    void howeverManyWaitAVoterHasOneQuestionToAnswerAtATime() {
+    void concurrentCallersShareOneOpenRequestPerVoter() {
         net.news.add(new ChosenItem(new Ballot(1, "w"), Item.none(ItemId.LEDGER).successor("{}", "t1")));
         net.answerMs = 100;
         for (int i = 0; i < 40; i++) {
             for (int waiting = 0; waiting < 50; waiting++) {
                 net.view.poll();
             }
-            net.view.awaitConfirmation(net.loop.now(), 700, heard::add);
+            net.view.awaitConfirmation(net.loop.now(), 700, results::add);
             net.loop.run(25);
         }
         net.loop.run(1000);
         assertEquals(1, net.mostOpenQueries);
-        assertEquals(Collections.nCopies(40, true), heard);
+        assertEquals(Collections.nCopies(40, true), results);
     }
 
     @Test
-    void withoutAMajorityItIsNoAtTheCutoff() {
+    void withoutAMajorityTheResultIsFalseAfterTheTimeout() {
         net.confirm();
         net.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("c")));
         net.loop.run(5);
-        net.view.awaitConfirmation(net.loop.now(), 500, heard::add);
+        net.view.awaitConfirmation(net.loop.now(), 500, results::add);
         net.loop.run(490);
-        assertEquals(List.of(), heard);
+        assertEquals(List.of(), results);
         net.loop.run(30);
-        assertEquals(List.of(false), heard);
+        assertEquals(List.of(false), results);
         net.loop.run(1500);
         assertFalse(net.view.isFresh());
     }
 
     @Test
-    void aFramesAgeIsBoundedByWhatTheTimingSays() {
-        final ViewSynchronizer quick = new ViewSynchronizer(
+    void theTimingsLimitTheAgeOfAFreshView() {
+        final ViewSynchronizer synchronizer = new ViewSynchronizer(
                 net.votingConfiguration,
                 net.loop,
                 net,
@@ -72,25 +72,25 @@
                 new org.rowanvalve.common.model.LeaseTimings(3000, 1000, 300),
                 net.journal,
                 net.items::merge,
-                e -> {});
-        quick.poll();
+                voter -> {});
+        synchronizer.poll();
         net.loop.run(10);
-        assertTrue(quick.isFresh());
+        assertTrue(synchronizer.isFresh());
         net.loop.run(300);
-        assertFalse(quick.isFresh());
+        assertFalse(synchronizer.isFresh());
     }
 
     @Test
-    void withoutStoresAMajorityIsEnoughToWrite() {
-        final List<NodeId> four = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"), NodeId.of("d"));
-        final Quorum even = new Quorum(four, Set.of());
+    void withoutStoresAnyMajorityIsAWriteQuorum() {
+        final List<NodeId> voters = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"), NodeId.of("d"));
+        final Quorum even = new Quorum(voters, Set.of());
         assertEquals(3, even.majority());
-        assertFalse(even.isWriteQuorum(Set.copyOf(four.subList(0, 2))));
-        assertTrue(even.isWriteQuorum(Set.copyOf(four.subList(1, 4))));
-        assertTrue(even.isReadQuorum(Set.copyOf(four.subList(1, 4))));
+        assertFalse(even.isWriteQuorum(Set.copyOf(voters.subList(0, 2))));
+        assertTrue(even.isWriteQuorum(Set.copyOf(voters.subList(1, 4))));
+        assertTrue(even.isReadQuorum(Set.copyOf(voters.subList(1, 4))));
         assertEquals(2, net.votingConfiguration.quorum().majority());
         assertTrue(net.votingConfiguration.quorum().isWriteQuorum(Set.of(NodeId.of("b"), NodeId.of("c"))));
-        final Quorum stores = new Quorum(VoterFixture.ALL, Set.of(NodeId.of("a")));
-        assertFalse(stores.isWriteQuorum(Set.of(NodeId.of("b"), NodeId.of("c"))));
+        final Quorum withStore = new Quorum(VoterFixture.ALL, Set.of(NodeId.of("a")));
+        assertFalse(withStore.isWriteQuorum(Set.of(NodeId.of("b"), NodeId.of("c"))));
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/view/VoterQueryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/view/VoterQueryTest.java
@@ -29,7 +29,10 @@
 import org.rowanvalve.control.store.ItemDigest;
 import org.rowanvalve.control.store.ItemStore;
 
-/** What a node with many items asks voters of this release, of an earlier one, and one that answers wrongly. */
+/**
+ * Tests the requests of a node with many items to a voter of this release, to a voter of an earlier release, and to a
+ * voter whose response is invalid.
+ */
 class VoterQueryTest {
     private static final NodeId VOTER = NodeId.of("v");
     private static final int ITEMS = 2000;
@@ -37,7 +40,7 @@
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
     private final EventJournal journal = new EventJournal(loop, 10);
     private final ItemStore items = new ItemStore(loop, journal);
-    private final List<Message> asked = new ArrayList<>();
+    private final List<Message> requests = new ArrayList<>();
     private final List<Long> confirmed = new ArrayList<>();
     private Function<DigestRequest, DigestResponse> voter = request -> new DigestResponse(true, List.of());
 
@@ -46,7 +49,7 @@
             1,
             loop,
             (recipient, message, timeoutMs, callback) -> {
-                asked.add(message);
+                requests.add(message);
                 loop.schedule(5, () -> callback.accept(Reply.of(answer(message))));
             },
             items,
@@ -78,60 +81,65 @@
                 : new MissingItemsResponse(List.of(), true, List.of());
     }
 
-    private Optional<MissingItemsRequest> question() {
-        return asked.stream()
+    private Optional<MissingItemsRequest> firstItemsRequest() {
+        return requests.stream()
                 .filter(MissingItemsRequest.class::isInstance)
                 .map(MissingItemsRequest.class::cast)
                 .findFirst();
     }
 
     @BeforeEach
-    void learn() {
+    void learnItems() {
         for (int i = 0; i < ITEMS; i++) {
             items.merge(new ChosenItem(new Ballot(1, "v"), item(i, 1)));
         }
     }
 
     @Test
-    void aVoterOfThisReleaseIsAskedForTheBucketThatDiffersAmongMany() {
-        final ItemDigest other = new ItemDigest();
+    void onlyTheDifferingBucketIsRequestedFromAVoterOfThisRelease() {
+        final ItemDigest voterDigest = new ItemDigest();
         for (int i = 0; i < ITEMS; i++) {
-            other.replace(null, item(i, i == 77 ? 2 : 1));
+            voterDigest.replace(null, item(i, i == 77 ? 2 : 1));
         }
-        voter = request -> new DigestResponse(false, other.bucketSums(request.bucketCount()));
-        final long askedAt = loop.now();
+        voter = request -> new DigestResponse(false, voterDigest.bucketSums(request.bucketCount()));
+        final long sentAt = loop.now();
         query.ask();
         loop.run(100);
-        assertEquals(BUCKETS, ((DigestRequest) asked.get(0)).bucketCount());
-        final MissingItemsRequest question = question().orElseThrow();
-        assertEquals(BUCKETS, question.bucketCount());
-        assertEquals(List.of(ItemDigest.bucket(item(77, 1).id(), BUCKETS)), question.buckets());
-        assertTrue(question.versions().containsKey(item(77, 1).id()));
-        assertTrue(question.versions().size() < ITEMS / 50, question.versions().size() + " versions");
-        assertEquals(List.of(askedAt), confirmed);
+        assertEquals(BUCKETS, ((DigestRequest) requests.get(0)).bucketCount());
+        final MissingItemsRequest itemsRequest = firstItemsRequest().orElseThrow();
+        assertEquals(BUCKETS, itemsRequest.bucketCount());
+        assertEquals(List.of(ItemDigest.bucket(item(77, 1).id(), BUCKETS)), itemsRequest.buckets());
+        assertTrue(itemsRequest.versions().containsKey(item(77, 1).id()));
+        assertTrue(
+                itemsRequest.versions().size() < ITEMS / 50,
+                itemsRequest.versions().size() + " versions");
+        assertEquals(List.of(sentAt), confirmed);
     }
 
-    /** Guards against buckets that an earlier release would take for others: it divides all items into 64. */
+    /**
+     * Guards against bucket numbers that a voter of an earlier release would misinterpret: such a voter always uses 64
+     * buckets.
+     */
     @Test
-    void aVoterOfAnEarlierReleaseIsAskedInItsOwnBuckets() {
+    void sixtyFourBucketsAreUsedWithAVoterOfAnEarlierRelease() {
         voter = request -> new DigestResponse(
                 false, Collections.nCopies(ItemDigest.BUCKETS, items.digest().total()));
-        final long askedAt = loop.now();
+        final long sentAt = loop.now();
         query.ask();
         loop.run(100);
-        final MissingItemsRequest question = question().orElseThrow();
-        assertNull(question.bucketCount());
-        assertTrue(question.buckets().stream().allMatch(bucket -> bucket < ItemDigest.BUCKETS));
-        assertEquals(List.of(askedAt), confirmed);
+        final MissingItemsRequest itemsRequest = firstItemsRequest().orElseThrow();
+        assertNull(itemsRequest.bucketCount());
+        assertTrue(itemsRequest.buckets().stream().allMatch(bucket -> bucket < ItemDigest.BUCKETS));
+        assertEquals(List.of(sentAt), confirmed);
     }
 
-    /** Guards against a number of buckets that none can have: it confirms nothing and stops nothing. */
+    /** A response with an invalid number of buckets confirms nothing and does not prevent further requests. */
     @Test
-    void anAnswerWithAnOddNumberOfBucketsCountsForNothing() {
+    void aResponseWithAnInvalidNumberOfBucketsConfirmsNothing() {
         voter = request -> new DigestResponse(false, Collections.nCopies(63, 1L));
         query.ask();
         loop.run(100);
-        assertTrue(question().isEmpty());
+        assertTrue(firstItemsRequest().isEmpty());
         assertEquals(List.of(), confirmed);
         voter = request -> new DigestResponse(true, List.of());
         query.ask();
--- a/control/src/test/java/org/rowanvalve/control/voting/StoreHealthTest.java
+++ b/control/src/test/java/org/rowanvalve/control/voting/StoreHealthTest.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** One store only after the other's stated silence. */
+/** A write is complete at one store alone only after the other store has been silent for the time-out. */
 class StoreHealthTest {
     private static final NodeId A = NodeId.of("st1");
     private static final NodeId B = NodeId.of("st2");
@@ -31,26 +31,26 @@
             new Quorum(List.of(A, B, NodeId.of("sh1")), Set.of(A, B)), loop, new EventJournal(loop, 10));
 
     @Test
-    void bothWhileBothAreHeardFrom() {
+    void bothStoresMustSyncWhileBothRespond() {
         assertFalse(storeHealth.allReachableSynced(Set.of(A), 399));
         assertTrue(storeHealth.allReachableSynced(Set.of(A, B), 0));
         assertTrue(storeHealth.allReachableSynced(Set.of(A), 400));
         assertEquals(Set.of(B), storeHealth.silent());
-        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "no answer waits twice");
+        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "a silent store is not waited for again");
         storeHealth.recordSync(B);
         assertFalse(storeHealth.allReachableSynced(Set.of(A), 0));
     }
 
     @Test
-    void missedBeatsCountUnlessSomethingElseWasHeardSince() {
+    void missedHeartbeatsCountUnlessTheStoreRespondedSince() {
         storeHealth.recordMissed(B, 9500);
-        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "silent since the beat was sent");
+        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "silent since the heartbeat was sent");
         now[0] = 9700;
         storeHealth.recordSync(B);
         now[0] = 10_000;
         storeHealth.recordMissed(B, 9500);
-        assertFalse(storeHealth.allReachableSynced(Set.of(A), 0), "it was heard after that beat was sent");
+        assertFalse(storeHealth.allReachableSynced(Set.of(A), 0), "the store responded after that heartbeat was sent");
         storeHealth.markSilent(B);
-        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "its own word that its disk is behind");
+        assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "the store reported that its disk is unavailable");
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
@@ -35,19 +35,20 @@
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewSynchronizer;
 
-/** Three electors that answer at once, and one node's part of the control plane that asks them. */
+/** Three simulated voters, and the control plane components of one node that sends requests to them. */
 public final class VoterFixture implements Transport {
     public static final List<NodeId> ALL = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"));
     public final VirtualTimeLoop loop = new VirtualTimeLoop();
     public final EventJournal journal = new EventJournal(loop, 100);
     public final ItemStore items = new ItemStore(loop, journal);
     public final ConfigurationView configuration = new ConfigurationView(items);
+    /** Voters that answer no request. */
     public final Set<NodeId> deaf = new HashSet<>();
-    /** These confirm frames, but do not vote. */
+    /** Voters that confirm views, but do not answer prepare and accept requests. */
     public final Set<NodeId> mute = new HashSet<>();
 
     public final List<Item> written = new ArrayList<>();
-    /** What the electors hold and this node does not. */
+    /** Chosen items that the voters have and this node lacks. */
     public final List<ChosenItem> news = new ArrayList<>();
 
     public final VotingConfiguration votingConfiguration = VotingConfiguration.of(new Quorum(ALL, Set.of()));
@@ -59,7 +60,7 @@
             org.rowanvalve.common.model.LeaseTimings.DEFAULT,
             journal,
             items::merge,
-            e -> {});
+            voter -> {});
     public final Proposer proposer = new Proposer(
             NodeId.of("z"),
             "1",
@@ -71,21 +72,21 @@
             items,
             () -> List.of(),
             new StoreHealth(votingConfiguration.quorum(), loop, journal));
-    /** Time until an answer, in ms. */
+    /** The delay of each response, in ms. */
     public long answerMs = 1;
 
-    /** Questions of either kind that are not answered yet, and the most of them at a time for one elector. */
+    /** The number of unanswered digest and item requests of each voter; {@link #mostOpenQueries} is its maximum. */
     public final Map<NodeId, Integer> openQueries = new HashMap<>();
 
     public int mostOpenQueries;
-    private final Map<NodeId, Map<ItemId, Register>> memory = new HashMap<>();
+    private final Map<NodeId, Map<ItemId, Register>> registersByVoter = new HashMap<>();
     private long tags;
 
     public String tag() {
         return "t" + ++tags;
     }
 
-    /** The frame is confirmed from now on, as long as a majority answers. */
+    /** Starts the view synchronizer, so that the view is confirmed as long as a majority of the voters answers. */
     public void confirm() {
         view.start();
         loop.run(310);
@@ -97,44 +98,50 @@
     }
 
     @Override
-    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
-        final boolean vote = msg instanceof PrepareRequest || msg instanceof AcceptRequest;
-        if (deaf.contains(recipient) || vote && mute.contains(recipient)) {
-            loop.schedule(wait, () -> then.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
+    public void request(
+            final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
+        final boolean isVote = message instanceof PrepareRequest || message instanceof AcceptRequest;
+        if (deaf.contains(recipient) || isVote && mute.contains(recipient)) {
+            loop.schedule(timeoutMs, () -> callback.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         } else {
-            countQuery(recipient, msg, 1);
+            countQuery(recipient, message, 1);
             loop.schedule(answerMs, () -> {
-                countQuery(recipient, msg, -1);
-                then.accept(Reply.of(answer(recipient, msg)));
+                countQuery(recipient, message, -1);
+                callback.accept(Reply.of(answer(recipient, message)));
             });
         }
     }
 
-    private void countQuery(final NodeId recipient, final Message msg, final int change) {
-        if (msg instanceof DigestRequest || msg instanceof MissingItemsRequest) {
+    private void countQuery(final NodeId recipient, final Message message, final int change) {
+        if (message instanceof DigestRequest || message instanceof MissingItemsRequest) {
             mostOpenQueries = Math.max(mostOpenQueries, openQueries.merge(recipient, change, Integer::sum));
         }
     }
 
-    private Message answer(final NodeId who, final Message msg) {
-        final Map<ItemId, Register> mine = memory.computeIfAbsent(who, k -> new HashMap<>());
-        if (msg instanceof PrepareRequest p) {
-            final Register s = mine.getOrDefault(p.id(), new Register(Ballot.ZERO, Ballot.ZERO, Item.none(p.id())));
-            final boolean ok = p.ballot().isAbove(s.promisedBallot());
-            if (ok) {
-                mine.put(p.id(), new Register(p.ballot(), s.acceptedBallot(), s.item()));
+    private Message answer(final NodeId voter, final Message message) {
+        final Map<ItemId, Register> registers = registersByVoter.computeIfAbsent(voter, k -> new HashMap<>());
+        if (message instanceof PrepareRequest prepare) {
+            final Register register = registers.getOrDefault(
+                    prepare.id(), new Register(Ballot.ZERO, Ballot.ZERO, Item.none(prepare.id())));
+            final boolean promised = prepare.ballot().isAbove(register.promisedBallot());
+            if (promised) {
+                registers.put(prepare.id(), new Register(prepare.ballot(), register.acceptedBallot(), register.item()));
             }
-            return new PrepareResponse(ok, ok ? p.ballot() : s.promisedBallot(), s.acceptedBallot(), s.item());
+            return new PrepareResponse(
+                    promised,
+                    promised ? prepare.ballot() : register.promisedBallot(),
+                    register.acceptedBallot(),
+                    register.item());
         }
-        if (msg instanceof AcceptRequest a) {
-            mine.put(a.item().id(), new Register(a.ballot(), a.ballot(), a.item()));
-            written.add(a.item());
-            return new AcceptResponse(true, a.ballot());
+        if (message instanceof AcceptRequest accept) {
+            registers.put(accept.item().id(), new Register(accept.ballot(), accept.ballot(), accept.item()));
+            written.add(accept.item());
+            return new AcceptResponse(true, accept.ballot());
         }
-        if (msg instanceof MissingItemsRequest) {
+        if (message instanceof MissingItemsRequest) {
             return new MissingItemsResponse(news, true, List.of());
         }
-        return msg instanceof DigestRequest
+        return message instanceof DigestRequest
                 ? new DigestResponse(news.isEmpty(), java.util.Collections.nCopies(ItemDigest.BUCKETS, 1L))
                 : new AckResponse();
     }
--- a/testkit/src/test/java/org/rowanvalve/testkit/ViewServerTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ViewServerTest.java
@@ -34,16 +34,16 @@
 import org.rowanvalve.control.voting.Quorum;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** What an elector says to a node that asks whether it holds all. */
+/** Tests the responses of a voter to a node that requests missing items while a write is open. */
 class ViewServerTest {
-    private static final ItemId OPEN = new ItemId(ItemKind.PURGE, "open");
-    private static final ChosenItem FIRST =
-            new ChosenItem(new Ballot(1, "w"), Item.none(OPEN).successor("{}", "t1"));
+    private static final ItemId OPEN_ITEM = new ItemId(ItemKind.PURGE, "open");
+    private static final ChosenItem FIRST_VALUE =
+            new ChosenItem(new Ballot(1, "w"), Item.none(OPEN_ITEM).successor("{}", "t1"));
     private final Clock clock = new Clock();
     private final ItemStore items = new ItemStore(clock, new EventJournal(clock, 10));
-    private final List<MissingItemsResponse> said = new ArrayList<>();
+    private final List<MissingItemsResponse> responses = new ArrayList<>();
     private Acceptor acceptor;
-    private ViewServer desk;
+    private ViewServer viewServer;
 
     private static final class Clock implements EventLoop {
         private final PriorityQueue<Map.Entry<Long, Runnable>> jobs = new PriorityQueue<>(Map.Entry.comparingByKey());
@@ -59,88 +59,87 @@
             jobs.add(Map.entry(now + ms, job));
         }
 
-        void run(final long to) {
-            while (!jobs.isEmpty() && jobs.peek().getKey() <= to) {
+        void run(final long untilMs) {
+            while (!jobs.isEmpty() && jobs.peek().getKey() <= untilMs) {
                 final Map.Entry<Long, Runnable> entry = jobs.poll();
                 now = entry.getKey();
                 entry.getValue().run();
             }
-            now = to;
+            now = untilMs;
         }
     }
 
-    private record Kept(Map<String, byte[]> rows) implements StableStorage {
+    private record ReadOnlyStorage(Map<String, byte[]> rows) implements StableStorage {
         @Override
         public Map<String, byte[]> load() {
             return rows;
         }
 
         @Override
-        public void save(final Map<String, byte[]> more, final Consumer<Boolean> done) {
+        public void save(final Map<String, byte[]> newRows, final Consumer<Boolean> done) {
             done.accept(true);
         }
     }
 
     @BeforeEach
-    void anElectorThatAcceptedAWrite() throws Exception {
-        final Kept kept = new Kept(Map.of(
+    void startAcceptorWithOpenWrite() throws Exception {
+        final ReadOnlyStorage storage = new ReadOnlyStorage(Map.of(
                 "seal",
                 MessageCodec.encode(Map.of("founders", Map.of("e1", "b1"), "floor", 0, "lives", 0)),
-                "e/" + OPEN.text(),
-                MessageCodec.encode(new Register(FIRST.ballot(), FIRST.ballot(), FIRST.item()))));
+                "e/" + OPEN_ITEM.text(),
+                MessageCodec.encode(new Register(FIRST_VALUE.ballot(), FIRST_VALUE.ballot(), FIRST_VALUE.item()))));
         final NodeId self = NodeId.of("e1");
         acceptor = new Acceptor(
                 self,
                 VotingConfiguration.of(new Quorum(List.of(self), Set.of())),
                 clock,
-                (recipient, msg, wait, then) -> {},
-                new MonitoredStorage(kept, clock),
+                (recipient, message, timeoutMs, callback) -> {},
+                new MonitoredStorage(storage, clock),
                 new EventJournal(clock, 10),
                 "b1",
                 true,
                 () -> false);
         acceptor.start();
         assertTrue(acceptor.hasState());
-        desk = new ViewServer(acceptor, items, clock);
+        viewServer = new ViewServer(acceptor, items, clock);
     }
 
-    private void ask(final ItemId... about) {
-        desk.onMissingItemsRequest(
+    private void requestMissingItems(final ItemId... ids) {
+        viewServer.onMissingItemsRequest(
                 new MissingItemsRequest(
-                        0,
-                        java.util.Arrays.stream(about).map(ItemDigest::bucket).toList(),
-                        Map.of()),
-                m -> said.add((MissingItemsResponse) m));
+                        0, java.util.Arrays.stream(ids).map(ItemDigest::bucket).toList(), Map.of()),
+                message -> responses.add((MissingItemsResponse) message));
     }
 
     @Test
-    void anOpenWriteIsWaitedForAndGiven() {
-        ask(OPEN);
+    void theResponseWaitsForAnOpenWriteAndContainsIt() {
+        requestMissingItems(OPEN_ITEM);
         clock.run(100);
-        assertEquals(List.of(), said);
-        items.merge(FIRST);
+        assertEquals(List.of(), responses);
+        items.merge(FIRST_VALUE);
         clock.run(120);
-        assertTrue(said.get(0).complete());
-        assertEquals(List.of(FIRST), said.get(0).items());
+        assertTrue(responses.get(0).complete());
+        assertEquals(List.of(FIRST_VALUE), responses.get(0).items());
     }
 
     @Test
-    void aWriteThatStaysOpenIsNeverPassedOver() {
-        ask(OPEN);
+    void aResponseIsIncompleteWhileAWriteStaysOpen() {
+        requestMissingItems(OPEN_ITEM);
         clock.run(1000);
-        assertEquals(1, said.size());
-        assertFalse(said.get(0).complete());
+        assertEquals(1, responses.size());
+        assertFalse(responses.get(0).complete());
     }
 
     @Test
-    void aWriteThatCameAfterTheQuestionIsNotWaitedFor() {
-        items.merge(FIRST);
-        ask(OPEN);
-        assertTrue(said.get(0).complete());
-        ask(OPEN);
-        acceptor.accept(new AcceptRequest(0, new Ballot(2, "w"), FIRST.item().successor("{}", "t2"), null), m -> {});
-        assertTrue(said.get(1).complete());
-        ask(OPEN);
-        assertEquals(2, said.size());
+    void aWriteAcceptedAfterTheRequestIsNotWaitedFor() {
+        items.merge(FIRST_VALUE);
+        requestMissingItems(OPEN_ITEM);
+        assertTrue(responses.get(0).complete());
+        requestMissingItems(OPEN_ITEM);
+        acceptor.accept(
+                new AcceptRequest(0, new Ballot(2, "w"), FIRST_VALUE.item().successor("{}", "t2"), null), m -> {});
+        assertTrue(responses.get(1).complete());
+        requestMissingItems(OPEN_ITEM);
+        assertEquals(2, responses.size());
     }
 }
