--- a/data/src/main/java/org/rowanvalve/data/cache/Cache.java
+++ b/data/src/main/java/org/rowanvalve/data/cache/Cache.java
@@ -7,27 +7,33 @@
 import java.util.function.Predicate;
 import org.rowanvalve.common.model.VersionVector;
 
-/** Cached responses of one node, up to a number of bytes; the least recently used go first. */
+/** The cached responses of one node, bounded by their total size in bytes, with least-recently-used eviction. */
 public final class Cache {
+    /** Estimated size of an entry besides its body. */
+    private static final int ENTRY_OVERHEAD_BYTES = 256;
+
     private final long capacityBytes;
     private final Predicate<CachedResponse> isValid;
     private long sizeBytes;
     private final LinkedHashMap<String, CachedResponse> entries = new LinkedHashMap<>(64, 0.75f, true);
 
-    /** {@code isValid}: what a copy must satisfy besides its age and the version vector asked for. */
+    /** {@code isValid}: a condition that a copy must meet in addition to its age and its version vector. */
     public Cache(final long capacityBytes, final Predicate<CachedResponse> isValid) {
         this.capacityBytes = capacityBytes;
         this.isValid = isValid;
     }
 
-    /** A copy within its lifetime and under these versions. {@code now}: monotonic ms. */
+    /**
+     * Finds a copy that is within its lifetime and was filled under {@code versions}. {@code now}: monotonic time in
+     * ms.
+     */
     public Optional<CachedResponse> findFresh(final String key, final long now, final VersionVector versions) {
         return findUsable(key, now, versions).filter(copy -> copy.isFresh(now, versions));
     }
 
     /**
-     * A copy under these versions, within its lifetime or not too long past it; one that is no longer usable is
-     * removed.
+     * Finds a copy that was filled under {@code versions} and is within its lifetime or the stale grace period after
+     * it. Removes the copy if it is no longer usable.
      */
     public Optional<CachedResponse> findUsable(final String key, final long now, final VersionVector versions) {
         final CachedResponse copy = entries.get(key);
@@ -38,15 +44,15 @@
         return Optional.ofNullable(copy);
     }
 
-    /** Stores a copy; the least recently used ones go where the cache is full. */
+    /** Stores a copy, evicting the least recently used copies while the cache exceeds its capacity. */
     public void put(final String key, final CachedResponse copy) {
         remove(key);
         entries.put(key, copy);
-        sizeBytes += copy.body().length + 256;
+        sizeBytes += copy.body().length + ENTRY_OVERHEAD_BYTES;
         final Iterator<Map.Entry<String, CachedResponse>> iterator =
                 entries.entrySet().iterator();
         while (sizeBytes > capacityBytes && iterator.hasNext()) {
-            sizeBytes -= iterator.next().getValue().body().length + 256;
+            sizeBytes -= iterator.next().getValue().body().length + ENTRY_OVERHEAD_BYTES;
             iterator.remove();
         }
     }
@@ -58,7 +64,7 @@
     private void remove(final String key) {
         final CachedResponse previous = entries.remove(key);
         if (previous != null) {
-            sizeBytes -= previous.body().length + 256;
+            sizeBytes -= previous.body().length + ENTRY_OVERHEAD_BYTES;
         }
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/cache/CachedResponse.java
+++ b/data/src/main/java/org/rowanvalve/data/cache/CachedResponse.java
@@ -5,9 +5,11 @@
 import org.rowanvalve.control.config.Route;
 
 /**
- * A response with its age and the versions it was filled under. {@code filledAt}: when, on this clock, the request that
- * brought it was sent; {@code tagVersions}: the versions of its tags' purges at that moment; {@code service}: which one
- * it came from.
+ * A cached response with its age and the versions under which it was filled.
+ *
+ * @param filledAt the monotonic time of this node, in ms, at which the request for the response was sent
+ * @param tagVersions the versions of the newest purges of the response's tags when it was filled
+ * @param service the service that gave the response, or null if it is not known
  */
 public record CachedResponse(
         int status,
@@ -21,42 +23,48 @@
     static final long STALE_GRACE_MS = 1500;
     private static final String TAG_PREFIX = "t/";
 
-    /** Whether a route may still be answered from it: one of the route's services gave it. */
+    /**
+     * Whether {@code route} may be answered with this copy: its service is unknown or still one of the route's
+     * services.
+     */
     public boolean isFrom(final Route route) {
         return service == null || route.services().contains(service);
     }
 
-    /** Whether the copy is within its lifetime at {@code now} and as new as {@code wanted}. */
+    /** Whether the copy is within its lifetime at {@code now} and was filled under the versions {@code wanted}. */
     public boolean isFresh(final long now, final VersionVector wanted) {
         return now - filledAt < ttlMs && versions.equals(wanted);
     }
 
-    /** Past its lifetime, but by no more than the route allows: for when no fill is possible. */
+    /**
+     * Whether the copy may be served while no fill is possible: it may exceed its lifetime by less than the stale grace
+     * period.
+     */
     boolean isUsable(final long now, final VersionVector wanted) {
         return now - filledAt < ttlMs + STALE_GRACE_MS && versions.equals(wanted);
     }
 
-    /** The versions that go with this copy to other nodes: its own and its tags'. */
+    /** The versions sent to other nodes with this copy: those of its version vector and of its tags. */
     public VersionVector versionsWithTags() {
         if (tagVersions.isEmpty()) {
             return versions;
         }
-        final Map<String, Long> all = new java.util.TreeMap<>(versions.versions());
-        tagVersions.forEach((tag, version) -> all.put(TAG_PREFIX + tag, version));
-        return new VersionVector(all);
+        final Map<String, Long> combined = new java.util.TreeMap<>(versions.versions());
+        tagVersions.forEach((tag, version) -> combined.put(TAG_PREFIX + tag, version));
+        return new VersionVector(combined);
     }
 
-    public static VersionVector withoutTags(final VersionVector marked) {
-        final Map<String, Long> remaining = new java.util.TreeMap<>(marked.versions());
-        remaining.keySet().removeIf(k -> k.startsWith(TAG_PREFIX));
-        return remaining.size() == marked.versions().size() ? marked : new VersionVector(remaining);
+    public static VersionVector withoutTags(final VersionVector combinedVersions) {
+        final Map<String, Long> remaining = new java.util.TreeMap<>(combinedVersions.versions());
+        remaining.keySet().removeIf(key -> key.startsWith(TAG_PREFIX));
+        return remaining.size() == combinedVersions.versions().size() ? combinedVersions : new VersionVector(remaining);
     }
 
-    public static Map<String, Long> tagVersions(final VersionVector marked) {
+    public static Map<String, Long> tagVersions(final VersionVector combinedVersions) {
         final Map<String, Long> remaining = new java.util.TreeMap<>();
-        marked.versions().tailMap(TAG_PREFIX).forEach((k, version) -> {
-            if (k.startsWith(TAG_PREFIX)) {
-                remaining.put(k.substring(TAG_PREFIX.length()), version);
+        combinedVersions.versions().tailMap(TAG_PREFIX).forEach((key, version) -> {
+            if (key.startsWith(TAG_PREFIX)) {
+                remaining.put(key.substring(TAG_PREFIX.length()), version);
             }
         });
         return remaining;
--- a/data/src/main/java/org/rowanvalve/data/cache/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/cache/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Copies of origins' responses in memory. A copy carries the versions it was filled under; one that is older than a
- * purge or a route asks for is never served.
+ * In-memory copies of origin responses. A copy carries the versions under which it was filled, and is never served if
+ * it is older than a purge or a route requires.
  *
  * <p>Depends on {@code control.config}.
  */
--- a/data/src/main/java/org/rowanvalve/data/cancel/Cancellation.java
+++ b/data/src/main/java/org/rowanvalve/data/cancel/Cancellation.java
@@ -5,26 +5,27 @@
 import org.rowanvalve.common.model.CancelCause;
 
 /**
- * Tells the work on one request that nobody waits for its response any more. It is asked right before anything leaves for
- * another process, and it tells its listeners at once, so that work under way can end. A request that was cancelled stays
- * so.
+ * The cancellation state of one request, whose caller may stop waiting for the response. The state is polled right
+ * before anything is sent to another process for the request. Listeners are notified at once when the request is
+ * cancelled, so that work in progress can stop. A cancelled request stays cancelled.
  *
- * <p>After a pause of the process, what would cancel a request may not be read yet. Until its caller has said that it still
- * waits, the request is unconfirmed: it is not sent, and goes on once it is confirmed.
+ * <p>After a pause of the process, the message that cancels a request may not have been read yet. The request is
+ * therefore unconfirmed and is not sent until its caller has confirmed that it still waits.
  *
- * <p>{@link #announce} and {@link #isRequested} may be called in any thread; all else in the event loop.
+ * <p>{@link #announce} and {@link #isRequested} may be called from any thread, all other methods only from the event
+ * loop.
  */
 public final class Cancellation {
-    /** For requests that nobody cancels. */
+    /** The cancellation of requests that cannot be cancelled. */
     public static final Cancellation NEVER = new Cancellation();
 
-    /** Whether a request may leave for another process. */
+    /** Whether anything may be sent to another process for a request. */
     public enum Standing {
-        /** Its caller waits, as far as can be known here and now. */
+        /** The caller still waits, as far as this process knows. */
         WANTED,
-        /** Its caller has to be asked first. */
+        /** The caller must first confirm that it still waits. */
         UNCONFIRMED,
-        /** Nobody waits for it. */
+        /** No caller waits for the response. */
         CANCELLED
     }
 
@@ -34,20 +35,23 @@
     private volatile CancelCause cause;
     private boolean unconfirmed;
 
-    /** One that only {@link #request} cancels. */
+    /** Creates a cancellation without a source. */
     public Cancellation() {
         this(() -> {});
     }
 
-    /** {@code source}: looks whether the caller still waits, where this can be looked up, and cancels or suspends. */
+    /**
+     * {@code source}: run by each {@link #poll}; checks whether the caller still waits, and cancels or suspends the
+     * request if it does not or if that is uncertain.
+     */
     public Cancellation(final Runnable source) {
         this.source = source;
     }
 
-    /** From now on the request counts as cancelled; the listeners hear of it by {@link #request} only. */
-    public void announce(final CancelCause why) {
+    /** Marks the request as cancelled without notifying the listeners, which only {@link #request} does. */
+    public void announce(final CancelCause newCause) {
         requireCancellable();
-        cause = cause == null ? why : cause;
+        cause = cause == null ? newCause : cause;
     }
 
     private void requireCancellable() {
@@ -56,24 +60,24 @@
         }
     }
 
-    /** Cancels the request and tells the listeners, each once. */
-    public void request(final CancelCause why) {
-        announce(why);
+    /** Cancels the request and notifies each listener once. */
+    public void request(final CancelCause newCause) {
+        announce(newCause);
         runOnce(listeners);
         runOnce(settledListeners);
     }
 
-    private static void runOnce(final List<Runnable> once) {
-        final List<Runnable> all = List.copyOf(once);
-        once.clear();
-        all.forEach(Runnable::run);
+    private static void runOnce(final List<Runnable> pendingListeners) {
+        final List<Runnable> pending = List.copyOf(pendingListeners);
+        pendingListeners.clear();
+        pending.forEach(Runnable::run);
     }
 
     public boolean isRequested() {
         return cause != null;
     }
 
-    /** Looks up whether the request may leave now. To be asked right before it does. */
+    /** Returns whether the request may be sent now. Call this right before each send. */
     public Standing poll() {
         source.run();
         if (isRequested()) {
@@ -82,29 +86,29 @@
         return unconfirmed ? Standing.UNCONFIRMED : Standing.WANTED;
     }
 
-    /** From now on the request is unconfirmed. */
+    /** Marks the request as unconfirmed. */
     public void suspend() {
         requireCancellable();
         unconfirmed = true;
     }
 
-    /** Its caller still waits. */
+    /** Marks the request as confirmed: its caller still waits. */
     public void confirm() {
         unconfirmed = false;
         runOnce(settledListeners);
     }
 
-    /** {@code listener} is run once when the request, now unconfirmed, is confirmed or cancelled. */
+    /** Runs {@code listener} once, when the unconfirmed request is confirmed or cancelled. */
     public void onSettled(final Runnable listener) {
         settledListeners.add(listener);
     }
 
-    /** Why it was cancelled; null where it was not. */
+    /** The cause of the cancellation, or null if the request is not cancelled. */
     public CancelCause cause() {
         return cause;
     }
 
-    /** {@code listener} is run when the request is cancelled. */
+    /** Runs {@code listener} once, when the request is cancelled. */
     public void onRequest(final Runnable listener) {
         if (this != NEVER) {
             listeners.add(listener);
--- a/data/src/main/java/org/rowanvalve/data/cancel/PauseMonitor.java
+++ b/data/src/main/java/org/rowanvalve/data/cancel/PauseMonitor.java
@@ -3,11 +3,12 @@
 import org.rowanvalve.common.runtime.EventLoop;
 
 /**
- * Sees that this process has gone on after a pause, during which messages have piled up unread, and those that take requests
- * back may be among them. It is asked before a request is sent, so that no job can run ahead of it.
+ * Detects pauses of this process. During a pause messages accumulate unread, and messages that cancel requests may be
+ * among them. The monitor is also checked right before each request is sent, so that no job of the event loop can send
+ * a request before the pause is detected.
  */
 public final class PauseMonitor {
-    /** How long after a pause a message that is read may have been sent before its end. */
+    /** The time after a pause during which messages that are read may have been sent before the end of the pause. */
     public static final long CATCH_UP_MS = 1000;
 
     private static final long CHECK_INTERVAL_MS = 100;
@@ -19,19 +20,19 @@
     private long lastCheckAt;
     private long resumedAt = NEVER_PAUSED;
 
-    /** Checks from now on, also when nobody asks. */
+    /** Starts a periodic check in {@code loop}. */
     public PauseMonitor(final EventLoop loop) {
         this.loop = loop;
         lastCheckAt = loop.now();
         loop.scheduleRepeatedly(CHECK_INTERVAL_MS, this::check);
     }
 
-    /** {@code listener} is run after each pause, before anything is sent. */
+    /** Runs {@code listener} after each pause, before any request is sent. */
     public void onResume(final Runnable listener) {
         resumeListener = listener;
     }
 
-    /** Looks whether the process has paused since the last check. */
+    /** Checks whether the process has paused since the last check. */
     public void check() {
         final long now = loop.now();
         final boolean paused = now - lastCheckAt - CHECK_INTERVAL_MS >= MIN_PAUSE_MS;
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Whether what is read now may have been sent before the end of a pause. */
+    /** Whether messages that are read now may have been sent before the end of a pause. */
     public boolean isCatchingUp() {
         check();
         return loop.now() - resumedAt < CATCH_UP_MS;
--- a/data/src/main/java/org/rowanvalve/data/cancel/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/cancel/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests whose response nobody waits for any more: how the work on them hears of it.
+ * Cancellation of requests whose callers no longer wait for the response.
  *
  * <p>Depends on {@code common.model} and {@code common.runtime}.
  */
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedEntry.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedEntry.java
@@ -8,23 +8,24 @@
 import org.rowanvalve.common.message.KeyedRecord;
 
 /**
- * What a holder knows of one key, and who waits for it. It is kept for the retention after its last attempt, not its
- * first: a key whose first attempt was refused may be executed much later.
+ * The state of one key at the lease holder of its shard, with the requests that wait for the outcome. The retention
+ * period of an entry starts at the last attempt, not at the first one, since a key whose first attempt was refused may
+ * be executed much later.
  */
 final class KeyedEntry {
     private String digest;
     private long activeAt;
     private final List<Consumer<ForwardResponse>> waiting = new ArrayList<>();
-    /** An attempt of this key is in flight here. */
+    /** An attempt of this key is in flight at this node. */
     boolean inProgress;
-    /** No attempt is in flight, and nothing of the last one was sent to an origin. */
+    /** No attempt is in flight, and no byte of the last attempt was sent to an origin. */
     boolean notSent;
     /** The outcome's body is being fetched from a replica. */
     boolean fetching;
 
     long attemptId;
     KeyedOutcome outcome;
-    /** An attempt of another process, found at a replica while this one's intent was being recorded. */
+    /** An attempt by another process, read from a replica while the intent of this process was being written. */
     KeyedRecord foreignRecord;
 
     KeyedEntry(final String digest, final long now) {
@@ -43,21 +44,20 @@
         return digest;
     }
 
-    /** An attempt begins. */
     void begin(final long now) {
         inProgress = true;
         notSent = false;
         renew(now);
     }
 
-    /** An attempt has ended; {@code withheld}: none of it was sent to an origin. */
-    void end(final boolean withheld, final long now) {
+    /** Ends the attempt in flight. {@code nothingSent}: no byte of the attempt was sent to an origin. */
+    void end(final boolean nothingSent, final long now) {
         inProgress = false;
-        notSent = withheld;
+        notSent = nothingSent;
         renew(now);
     }
 
-    /** What a replica holds of this key decides, also over an attempt of this process. */
+    /** Takes over the record of a replica, which overrides an attempt of this process. */
     void adopt(final KeyedRecord record, final long now) {
         end(false, now);
         digest = record.requestDigest();
@@ -73,7 +73,7 @@
         return !inProgress && !fetching && now - activeAt > retentionMs;
     }
 
-    /** Only replicas have the body. */
+    /** Whether the body of the outcome is stored at replicas only. */
     boolean hasBodyElsewhere() {
         return outcome != null && !outcome.complete();
     }
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -29,13 +29,14 @@
 import org.rowanvalve.data.request.EndToEndHeaders;
 
 /**
- * Runs keyed requests at most once: an intent is synced at a majority of the record replicas before a byte is sent to
- * the origin, and the outcome after it. Whoever holds the shard next reads a majority first, so it finds every intent.
+ * Executes keyed requests at most once. An intent is synced at a majority of the record replicas before the first byte
+ * is sent to the origin, and the outcome is recorded after the response. The next lease holder of the shard reads a
+ * majority of the replicas first, so that it finds every intent.
  */
 public final class KeyedRequests {
     private static final long SWEEP_INTERVAL_MS = 10_000;
-    private static final long INTENT_TIMEOUT_MILLIS = 1000;
-    private static final long OUTCOME_TIMEOUT_MILLIS = 700;
+    private static final long INTENT_TIMEOUT_MS = 1000;
+    private static final long OUTCOME_TIMEOUT_MS = 700;
     private final VotingConfiguration votingConfiguration;
     private final EventLoop loop;
     private final Transport transport;
@@ -47,7 +48,7 @@
     private final Map<Integer, KeyedShard> shards = new HashMap<>();
     private long attemptSerial;
 
-    /** Sends the request, once the intent is recorded. */
+    /** Sends the request to an origin; called once the intent is recorded. */
     @FunctionalInterface
     public interface Send {
         void send(Consumer<OriginDispatcher.Completion> then);
@@ -88,20 +89,23 @@
     }
 
     /**
-     * {@code patienceMs}: how long the request waits for the records to be read; it is rejected after that. One that is
-     * cancelled until then is not executed; afterwards it runs to its recorded outcome.
+     * Executes a keyed request, or returns the recorded outcome of its key. A request that is cancelled before the
+     * records are read is not executed; a later cancellation has no effect, and the request runs until its outcome is
+     * recorded.
+     *
+     * @param maxWaitMs how long the request waits for the records to be read before it is rejected
      */
     public void handle(
             final int shardNumber,
             final String key,
             final String digest,
-            final long patienceMs,
+            final long maxWaitMs,
             final Cancellation cancellation,
             final Send sendAction,
             final Consumer<ForwardResponse> callback) {
         final KeyedShard shard = shard(shardNumber);
         shard.whenReady(
-                patienceMs,
+                maxWaitMs,
                 () -> runUnlessCancelled(shard, key, digest, cancellation, sendAction, callback),
                 () -> callback.accept(response(
                         RequestOutcome.REFUSED, 503, "too few keepers could be read yet", shard.token(), 1000)));
@@ -133,7 +137,7 @@
                         "shard",
                         shardNumber,
                         "read",
-                        shards.get(shardNumber).reader().completeKeepers().size())));
+                        shards.get(shardNumber).reader().completeReplicas().size())));
         shards.put(shardNumber, shard);
         if (known != null) {
             known.close();
@@ -168,7 +172,7 @@
         final KeyedEntry known =
                 found != null && found.notSent && !found.digest().equals(digest) ? null : found;
         if (known != null && !known.digest().equals(digest)) {
-            callback.accept(otherBody(shard));
+            callback.accept(differentBodyResponse(shard));
         } else if (known != null && known.hasBodyElsewhere()) {
             known.addWaiter(callback);
             fetchOutcome(shard, key, known);
@@ -177,7 +181,7 @@
         } else if (known != null && known.inProgress) {
             known.addWaiter(callback);
         } else if (known != null && !known.notSent) {
-            callback.accept(earlierAttempt(shard));
+            callback.accept(earlierAttemptResponse(shard));
         } else {
             final KeyedEntry entry = known == null ? new KeyedEntry(digest, loop.now()) : known;
             entry.addWaiter(callback);
@@ -186,23 +190,23 @@
         }
     }
 
-    private static ForwardResponse earlierAttempt(final KeyedShard shard) {
+    private static ForwardResponse earlierAttemptResponse(final KeyedShard shard) {
         return response(RequestOutcome.UNKNOWN, 504, "outcome unknown: an earlier try may have run", shard.token(), 0);
     }
 
-    private static ForwardResponse otherBody(final KeyedShard shard) {
+    private static ForwardResponse differentBodyResponse(final KeyedShard shard) {
         return response(RequestOutcome.REFUSED, 422, "the key was used with another body", shard.token(), 0);
     }
 
-    /** The key was executed elsewhere: its outcome's body is fetched once for all who ask meanwhile. */
+    /** Fetches the body of an outcome from the replicas, once for all requests that ask for the key meanwhile. */
     private void fetchOutcome(final KeyedShard shard, final String key, final KeyedEntry entry) {
         if (entry.fetching) {
             return;
         }
         entry.fetching = true;
-        final List<NodeId> keepers = new ArrayList<>(votingConfiguration.voters());
-        Collections.rotate(keepers, (int) (attemptSerial % keepers.size()));
-        new OutcomeFetch(loop, transport, keepers, key, outcome -> {
+        final List<NodeId> replicas = new ArrayList<>(votingConfiguration.voters());
+        Collections.rotate(replicas, (int) (attemptSerial % replicas.size()));
+        new OutcomeFetch(loop, transport, replicas, key, outcome -> {
                     entry.fetching = false;
                     if (outcome != null) {
                         entry.outcome = outcome;
@@ -248,7 +252,7 @@
         entry.begin(loop.now());
         entry.attemptId = KeyedRecord.attemptId(reader, ++attemptSerial);
         entry.foreignRecord = null;
-        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MILLIS, result -> {
+        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MS, result -> {
             if (entry.foreignRecord != null) {
                 yieldToForeign(shard, entry);
             } else if (result.status() == RecordWrite.Status.OUTRANKED) {
@@ -273,33 +277,34 @@
     }
 
     /**
-     * Another process with the same token attempted this key before: that attempt decides, and is not marked as not
-     * sent.
+     * Adopts an earlier attempt of this key by another process with the same token. That attempt takes precedence and
+     * must not be marked as not sent.
      */
     private void yieldToForeign(final KeyedShard shard, final KeyedEntry entry) {
         entry.adopt(entry.foreignRecord, loop.now());
-        entry.respond(earlierAttempt(shard));
+        entry.respond(earlierAttemptResponse(shard));
     }
 
     /**
-     * A replica holds an outcome of this key, or a later attempt, of which this process knew nothing: nothing is sent,
-     * and whoever waits gets that outcome where there is one.
+     * Adopts an outcome or a later attempt of this key that a replica stores and that was unknown to this process. The
+     * request is not sent; the waiting requests get the stored outcome if there is one.
      */
     private void yieldToStanding(
             final KeyedShard shard, final String key, final KeyedEntry entry, final KeyedRecord standing) {
         final boolean sameRequest = entry.digest().equals(standing.requestDigest());
         entry.adopt(standing, loop.now());
         if (!sameRequest) {
-            entry.respond(otherBody(shard));
+            entry.respond(differentBodyResponse(shard));
         } else if (entry.hasBodyElsewhere()) {
             fetchOutcome(shard, key, entry);
         } else {
-            entry.respond(earlierAttempt(shard));
+            entry.respond(earlierAttemptResponse(shard));
         }
     }
 
     /**
-     * Nothing was sent from this node: it may execute the key later, and so may the next holder once a replica says so.
+     * Marks the attempt as not sent, here and at the replicas. This node may then execute the key later, and so may the
+     * next lease holder if it reads the mark from a replica.
      */
     private void release(
             final KeyedShard shard, final String key, final KeyedEntry entry, final ForwardResponse response) {
@@ -308,11 +313,13 @@
         final long epoch = votingConfiguration.epoch();
         votingConfiguration
                 .voters()
-                .forEach(keeper -> transport.request(
-                        keeper,
+                .forEach(replica -> transport.request(
+                        replica,
                         new RecordWriteRequest(
-                                epoch, keyedRecord, shard.reader().eraOf(keeper).orElse(0)),
-                        OUTCOME_TIMEOUT_MILLIS,
+                                epoch,
+                                keyedRecord,
+                                shard.reader().eraOf(replica).orElse(0)),
+                        OUTCOME_TIMEOUT_MS,
                         reply -> {}));
         entry.respond(response);
     }
@@ -326,7 +333,7 @@
         if (originResponse.result() == OriginTransport.ExchangeResult.COMPLETE) {
             entry.outcome = new KeyedOutcome(
                     originResponse.status(), EndToEndHeaders.of(originResponse.headers()), originResponse.body(), true);
-            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MILLIS, result -> {
+            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MS, result -> {
                 entry.end(false, loop.now());
                 entry.respond(completed(shard, entry.outcome));
             });
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedShard.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedShard.java
@@ -10,7 +10,10 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** The keys of one shard under one token: what is known of each, and who waits until the records are read. */
+/**
+ * The keyed requests of one shard under one fencing token: the entry of each key, and the requests that wait for the
+ * records.
+ */
 final class KeyedShard implements RecordReader.Listener {
     private static final int MAX_WAITERS = 128;
     private final int number;
@@ -19,11 +22,11 @@
     private final LongPredicate isOwnAttempt;
     private final Runnable onTimeout;
     private final Map<String, KeyedEntry> entries = new HashMap<>();
-    /** What replicas have reported since this shard was last ready, by key. */
+    /** The records that replicas have returned and that are not merged into the entries yet, by key. */
     private final Map<String, List<KeyedRecord>> recordsRead = new HashMap<>();
 
     private final List<Waiter> waiting = new ArrayList<>();
-    private final Function<RecordReader.Listener, RecordReader> newReader;
+    private final Function<RecordReader.Listener, RecordReader> readerFactory;
     private RecordReader reader;
     private boolean ready;
     private boolean closed;
@@ -32,23 +35,23 @@
     private record Waiter(Runnable action, Runnable rejection) {}
 
     /**
-     * {@code isOwnAttempt}: whether an attempt is one of this process; {@code onTimeout}: run when waiting was in vain,
-     * once for each reading.
+     * {@code isOwnAttempt}: whether an attempt id belongs to this process; {@code onTimeout}: run when the first
+     * waiting request times out, once for each read.
      */
     KeyedShard(
             final int number,
             final FencingToken token,
             final EventLoop loop,
             final LongPredicate isOwnAttempt,
-            final Function<RecordReader.Listener, RecordReader> newReader,
+            final Function<RecordReader.Listener, RecordReader> readerFactory,
             final Runnable onTimeout) {
         this.number = number;
         this.token = token;
         this.loop = loop;
         this.isOwnAttempt = isOwnAttempt;
         this.onTimeout = onTimeout;
-        this.newReader = newReader;
-        this.reader = newReader.apply(this);
+        this.readerFactory = readerFactory;
+        this.reader = readerFactory.apply(this);
     }
 
     int number() {
@@ -72,9 +75,10 @@
     }
 
     /**
-     * Continues once the records are read, or is rejected after {@code patienceMs}; the reading goes on in any case.
+     * Runs {@code action} once the records are read, or {@code rejection} after {@code maxWaitMs}. The read continues
+     * after a rejection.
      */
-    void whenReady(final long patienceMs, final Runnable action, final Runnable rejection) {
+    void whenReady(final long maxWaitMs, final Runnable action, final Runnable rejection) {
         checkReady();
         if (ready) {
             action.run();
@@ -84,11 +88,11 @@
             final Waiter waiter = new Waiter(action, rejection);
             waiting.add(waiter);
             reader.start();
-            loop.schedule(patienceMs, () -> giveUp(waiter));
+            loop.schedule(maxWaitMs, () -> onWaitTimeout(waiter));
         }
     }
 
-    private void giveUp(final Waiter waiter) {
+    private void onWaitTimeout(final Waiter waiter) {
         if (waiting.remove(waiter)) {
             if (!timeoutReported) {
                 timeoutReported = true;
@@ -98,18 +102,18 @@
         }
     }
 
-    /** Other replicas count from now on: they are read again, whether anybody waits or not. */
+    /** Starts a new read at the replicas of the new voting set, even if no request waits for the records. */
     void onVotingSetChange() {
         if (!closed) {
             reader.stop();
-            reader = newReader.apply(this);
+            reader = readerFactory.apply(this);
             ready = false;
             recordsRead.clear();
             reader.start();
         }
     }
 
-    /** The lease has moved: nothing is read any more, and nobody waits. */
+    /** Stops reading and rejects the waiting requests, because the lease has moved. */
     void close() {
         closed = true;
         reader.stop();
@@ -124,7 +128,7 @@
     }
 
     @Override
-    public void onKeeperRead(final List<KeyedRecord> records) {
+    public void onReplicaRead(final List<KeyedRecord> records) {
         records.forEach(record -> recordsRead
                 .computeIfAbsent(record.key(), k -> new ArrayList<>())
                 .add(record));
@@ -158,7 +162,10 @@
         recordsRead.clear();
     }
 
-    /** An attempt of another process overrides this one's own knowledge, unless it is marked as not sent. */
+    /**
+     * Merges a record of the replicas into its entry. An attempt by another process overrides the state of this
+     * process, unless the record is marked as not sent or has a lower token, and has no outcome.
+     */
     private void mergeRecord(final KeyedRecord record) {
         final KeyedEntry entry = entries.get(record.key());
         if (entry == null) {
--- a/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/OutcomeFetch.java
@@ -10,29 +10,32 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Fetches one outcome with its body: the next replica is asked when one has none, or is late. */
+/**
+ * Fetches one outcome with its body. If a replica has no such outcome, or has not responded after the hedge delay, the
+ * next replica is asked too.
+ */
 final class OutcomeFetch {
     private static final long TIMEOUT_MILLIS = 1500;
     private static final long HEDGE_DELAY_MS = 400;
     private final EventLoop loop;
     private final Transport transport;
-    private final List<NodeId> keepers;
+    private final List<NodeId> replicas;
     private final String key;
     private final Consumer<KeyedOutcome> callback;
-    private int keepersAsked;
-    private int keepersAnswered;
+    private int replicasAsked;
+    private int replicasAnswered;
     private boolean finished;
 
-    /** {@code callback} gets the outcome, or null where no replica has one. */
+    /** {@code callback} gets the outcome, or null if no replica returned one with a body. */
     OutcomeFetch(
             final EventLoop loop,
             final Transport transport,
-            final List<NodeId> keepers,
+            final List<NodeId> replicas,
             final String key,
             final Consumer<KeyedOutcome> callback) {
         this.loop = loop;
         this.transport = transport;
-        this.keepers = keepers;
+        this.replicas = replicas;
         this.key = key;
         this.callback = callback;
     }
@@ -41,14 +44,14 @@
         askNext(0);
     }
 
-    /** Asks the replica at {@code index}, unless it was asked already. */
+    /** Asks the replica at {@code index}, unless it was already asked. */
     private void askNext(final int index) {
-        if (finished || index != keepersAsked || index >= keepers.size()) {
+        if (finished || index != replicasAsked || index >= replicas.size()) {
             return;
         }
-        keepersAsked++;
-        transport.request(keepers.get(index), new OutcomeRequest(key), TIMEOUT_MILLIS, reply -> {
-            keepersAnswered++;
+        replicasAsked++;
+        transport.request(replicas.get(index), new OutcomeRequest(key), TIMEOUT_MILLIS, reply -> {
+            replicasAnswered++;
             final KeyedRecord keyedRecord = reply.as(OutcomeResponse.class)
                     .map(OutcomeResponse::keyedRecord)
                     .orElse(null);
@@ -56,7 +59,7 @@
                     && keyedRecord.outcome() != null
                     && keyedRecord.outcome().complete()) {
                 finish(keyedRecord.outcome());
-            } else if (keepersAnswered == keepers.size()) {
+            } else if (replicasAnswered == replicas.size()) {
                 finish(null);
             } else {
                 askNext(index + 1);
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
@@ -22,15 +22,16 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Reads one shard's records from the replicas of one epoch, once for a token and for each replica's era. Each replica
- * is read by itself, page by page, with backoff and a growing time-out: one that is late delays no other, and pages
- * that others have answered stay valid. However many requests wait, at most one request to each replica is open.
+ * Reads the records of one shard from the replicas of one epoch under one fencing token. A replica is read again if its
+ * era changes. Each replica is read independently, page by page, with backoff and an increasing time-out, so a slow
+ * replica does not delay the others, and the pages already received from other replicas stay valid. At most one request
+ * to each replica is open, regardless of how many keyed requests wait for the records.
  */
 final class RecordReader {
-    private static final long FIRST_TIMEOUT_MILLIS = 1000;
-    private static final int TIMEOUT_DOUBLINGS = 3;
-    private static final long FIRST_PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 1000;
+    private static final long INITIAL_TIMEOUT_MS = 1000;
+    private static final int MAX_DOUBLINGS = 3;
+    private static final long INITIAL_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 1000;
     private final VotingConfiguration votingConfiguration;
     private final Quorum quorum;
     private final EventLoop loop;
@@ -39,28 +40,28 @@
     private final int shard;
     private final FencingToken token;
     private final String reader;
-    private final BooleanSupplier stillWanted;
+    private final BooleanSupplier holdsLease;
     private final Listener listener;
-    private final Map<NodeId, KeeperRead> readsByKeeper = new LinkedHashMap<>();
+    private final Map<NodeId, ReplicaRead> readsByReplica = new LinkedHashMap<>();
     private long startedAt;
     private boolean stopped;
 
     interface Listener {
-        /** All records of one replica, read in one era. */
-        void onKeeperRead(List<KeyedRecord> notes);
+        /** Receives all records of one replica, read in one era. */
+        void onReplicaRead(List<KeyedRecord> records);
 
-        /** Something changed that {@link #isReady} may rest on. */
+        /** The result of {@link #isReady} may have changed. */
         void onProgress();
 
-        /** A higher token was read somewhere: this one is over. */
+        /** A replica was read with a higher token, so the token of this read is superseded. */
         void onSuperseded();
     }
 
-    /** How far one replica has been read. */
-    private static final class KeeperRead {
-        private final List<KeyedRecord> notes = new ArrayList<>();
+    /** The progress of reading one replica. */
+    private static final class ReplicaRead {
+        private final List<KeyedRecord> records = new ArrayList<>();
         private boolean requested;
-        private boolean paused;
+        private boolean backingOff;
         private boolean complete;
         private boolean eraKnown;
         private boolean responded;
@@ -69,22 +70,22 @@
         private int failures;
 
         void reset() {
-            notes.clear();
+            records.clear();
             afterKey = null;
             complete = false;
             eraKnown = false;
         }
 
         long timeoutMs() {
-            return FIRST_TIMEOUT_MILLIS << Math.min(failures, TIMEOUT_DOUBLINGS);
+            return INITIAL_TIMEOUT_MS << Math.min(failures, MAX_DOUBLINGS);
         }
 
-        long pauseMs() {
-            return Math.min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS << Math.min(failures, TIMEOUT_DOUBLINGS));
+        long backoffMs() {
+            return Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS << Math.min(failures, MAX_DOUBLINGS));
         }
     }
 
-    /** {@code stillWanted}: whether the shard is still held under this token. */
+    /** {@code holdsLease}: whether this node still holds the lease of the shard under {@code token}. */
     RecordReader(
             final VotingConfiguration votingConfiguration,
             final EventLoop loop,
@@ -93,7 +94,7 @@
             final int shard,
             final FencingToken token,
             final String reader,
-            final BooleanSupplier stillWanted,
+            final BooleanSupplier holdsLease,
             final Listener listener) {
         this.votingConfiguration = votingConfiguration;
         this.quorum = votingConfiguration.quorum();
@@ -103,16 +104,18 @@
         this.shard = shard;
         this.token = token;
         this.reader = reader;
-        this.stillWanted = stillWanted;
+        this.holdsLease = holdsLease;
         this.listener = listener;
-        quorum.voters().forEach(keeper -> readsByKeeper.put(keeper, new KeeperRead()));
+        quorum.voters().forEach(replica -> readsByReplica.put(replica, new ReplicaRead()));
         startedAt = loop.now();
     }
 
-    /** Asks every replica that is neither read, nor being asked, nor waiting for its next request. */
+    /**
+     * Requests the next page of every replica that is not read completely, has no open request and is not backing off.
+     */
     void start() {
         if (!stopped) {
-            readsByKeeper.forEach(this::requestPage);
+            readsByReplica.forEach(this::requestPage);
             loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, listener::onProgress);
         }
     }
@@ -121,67 +124,67 @@
         stopped = true;
     }
 
-    /** A replica's era ended, or it has another reader now: only it is read again. */
-    void readAgain(final NodeId keeper) {
-        final KeeperRead read = readsByKeeper.get(keeper);
+    /** Reads a single replica again, because its era ended or another process has read the shard from this replica. */
+    void readAgain(final NodeId replica) {
+        final ReplicaRead read = readsByReplica.get(replica);
         if (read != null && read.eraKnown) {
             read.reset();
             startedAt = loop.now();
-            requestPage(keeper, read);
+            requestPage(replica, read);
         }
     }
 
-    /** A majority of replicas with complete records was read to the end, and every store that is heard from. */
+    /** Whether a majority of replicas with complete records, and every reachable store, has been read to the end. */
     boolean isReady() {
-        return quorum.isReadQuorum(completeKeepers())
-                && storeHealth.allReachableSynced(respondingKeepers(), loop.now() - startedAt);
+        return quorum.isReadQuorum(completeReplicas())
+                && storeHealth.allReachableSynced(respondingReplicas(), loop.now() - startedAt);
     }
 
-    Set<NodeId> completeKeepers() {
-        final Set<NodeId> keepers = new HashSet<>();
-        readsByKeeper.forEach((keeper, reply) -> {
-            if (reply.complete) {
-                keepers.add(keeper);
+    Set<NodeId> completeReplicas() {
+        final Set<NodeId> replicas = new HashSet<>();
+        readsByReplica.forEach((replica, read) -> {
+            if (read.complete) {
+                replicas.add(replica);
             }
         });
-        return keepers;
+        return replicas;
     }
 
-    private Set<NodeId> respondingKeepers() {
-        final Set<NodeId> keepers = new HashSet<>();
-        readsByKeeper.forEach((keeper, reply) -> {
-            if (reply.responded) {
-                keepers.add(keeper);
+    private Set<NodeId> respondingReplicas() {
+        final Set<NodeId> replicas = new HashSet<>();
+        readsByReplica.forEach((replica, read) -> {
+            if (read.responded) {
+                replicas.add(replica);
             }
         });
-        return keepers;
+        return replicas;
     }
 
-    /** The era in which a replica was read, or none where it is not read in its present one. */
-    OptionalLong eraOf(final NodeId keeper) {
-        final KeeperRead read = readsByKeeper.get(keeper);
+    /** The era in which a replica was read, or empty if the replica has not been read in its current era. */
+    OptionalLong eraOf(final NodeId replica) {
+        final ReplicaRead read = readsByReplica.get(replica);
         return read != null && read.eraKnown ? OptionalLong.of(read.era) : OptionalLong.empty();
     }
 
-    private void requestPage(final NodeId keeper, final KeeperRead read) {
-        if (stopped || read.complete || read.requested || read.paused || !stillWanted.getAsBoolean()) {
+    private void requestPage(final NodeId replica, final ReplicaRead read) {
+        if (stopped || read.complete || read.requested || read.backingOff || !holdsLease.getAsBoolean()) {
             return;
         }
         read.requested = true;
         final RecordReadRequest request =
                 new RecordReadRequest(quorum.epoch(), shard, token, reader, true, read.afterKey, read.era);
-        transport.request(keeper, request, read.timeoutMs(), reply -> {
+        transport.request(replica, request, read.timeoutMs(), reply -> {
             read.requested = false;
-            votingConfiguration.isEpochMismatch(keeper, reply);
+            votingConfiguration.isEpochMismatch(replica, reply);
             if (!stopped) {
-                onResponse(keeper, read, reply);
+                onResponse(replica, read, reply);
             }
         });
     }
 
-    private void onResponse(final NodeId keeper, final KeeperRead read, final Reply reply) {
+    private void onResponse(final NodeId replica, final ReplicaRead read, final Reply reply) {
         if (RejectedResponse.isStorageUnavailable(reply)) {
-            storeHealth.markSilent(keeper);
+            storeHealth.markSilent(replica);
         }
         final RecordReadResponse page = reply.as(RecordReadResponse.class).orElse(null);
         if (page != null && token.isBelow(page.highestToken())) {
@@ -190,48 +193,48 @@
             return;
         }
         if (page == null || !page.granted()) {
-            retryLater(keeper, read, page != null);
+            retryLater(replica, read, page != null);
         } else {
-            onPage(keeper, read, page);
+            onPage(replica, read, page);
         }
         listener.onProgress();
     }
 
-    private void onPage(final NodeId keeper, final KeeperRead read, final RecordReadResponse page) {
-        storeHealth.recordSync(keeper);
+    private void onPage(final NodeId replica, final ReplicaRead read, final RecordReadResponse page) {
+        storeHealth.recordSync(replica);
         read.responded = true;
         if (read.afterKey != null && page.era() != read.era) {
-            retryLater(keeper, read, true);
+            retryLater(replica, read, true);
             return;
         }
         read.era = page.era();
-        read.notes.addAll(page.records());
+        read.records.addAll(page.records());
         if (page.nextKey() != null) {
             read.afterKey = page.nextKey();
-            requestPage(keeper, read);
+            requestPage(replica, read);
         } else if (page.incomplete()) {
-            retryLater(keeper, read, true);
+            retryLater(replica, read, true);
             read.eraKnown = true;
         } else {
             read.failures = 0;
             read.eraKnown = true;
             read.complete = true;
-            listener.onKeeperRead(List.copyOf(read.notes));
-            read.notes.clear();
+            listener.onReplicaRead(List.copyOf(read.records));
+            read.records.clear();
             read.afterKey = null;
         }
     }
 
-    /** Requests a late page again; with {@code fromStart} the replica from its first page on. */
-    private void retryLater(final NodeId keeper, final KeeperRead read, final boolean fromStart) {
+    /** Repeats the request after a backoff. {@code fromStart}: reads the replica again from its first page. */
+    private void retryLater(final NodeId replica, final ReplicaRead read, final boolean fromStart) {
         if (fromStart) {
             read.reset();
         }
         read.failures++;
-        read.paused = true;
-        loop.schedule(read.pauseMs(), () -> {
-            read.paused = false;
-            requestPage(keeper, read);
+        read.backingOff = true;
+        loop.schedule(read.backoffMs(), () -> {
+            read.backingOff = false;
+            requestPage(replica, read);
         });
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
@@ -18,12 +18,12 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 
 /**
- * Writes one record to the replicas: done at a majority and at every store that is heard from. Only replicas count that
- * are still in the era in which they were read; one that is not is read again, and where too few are left the record is
- * written once more when enough of them are.
+ * Writes one record to the replicas. The write succeeds once a majority of the replicas and every reachable store has
+ * synced the record. A replica counts only while it is in the era in which it was read; a replica whose era has changed
+ * is read again. If too few replicas count, the record is written once more after enough of them have been read again.
  */
 final class RecordWrite {
-    private static final long VOTING_CHANGE_PATIENCE_MS = 1500;
+    private static final long VOTING_CHANGE_TIMEOUT_MS = 1500;
     private static final long CHECK_INTERVAL_MS = 100;
     private final VotingConfiguration votingConfiguration;
     private final Quorum quorum;
@@ -38,7 +38,7 @@
     private final long startedAt;
     private final Set<NodeId> accepted = new HashSet<>();
     private final Set<NodeId> syncedBy = new HashSet<>();
-    private final Set<NodeId> staleKeepers = new HashSet<>();
+    private final Set<NodeId> staleReplicas = new HashSet<>();
     private int unanswered;
     private KeyedRecord standing;
     private boolean superseded;
@@ -46,22 +46,22 @@
 
     /** How a write ended. */
     enum Status {
-        /** Synced at a majority of the replicas. */
+        /** The record is synced at a majority of the replicas. */
         STORED,
-        /** Not known to be synced at a majority. */
+        /** The record is not known to be synced at a majority of the replicas. */
         FAILED,
-        /** A replica holds a record of this key that outranks the one written. */
+        /** A replica stores a record of this key that takes precedence over the one written. */
         OUTRANKED
     }
 
-    /** {@code standing}: the record that outranks the one written, or null. */
+    /** {@code standing}: the stored record that takes precedence over the one written, or null. */
     record Result(Status status, KeyedRecord standing) {
         boolean isStored() {
             return status == Status.STORED;
         }
     }
 
-    /** {@code mayRepeat}: whether it is written once more after replicas have been read again. */
+    /** {@code mayRepeat}: whether the record may be written once more after replicas have been read again. */
     RecordWrite(
             final VotingConfiguration votingConfiguration,
             final EventLoop loop,
@@ -87,18 +87,18 @@
     }
 
     void start() {
-        final List<NodeId> keepers = quorum.voters();
-        keepers.forEach(keeper -> {
-            final OptionalLong era = shard.reader().eraOf(keeper);
+        final List<NodeId> replicas = quorum.voters();
+        replicas.forEach(replica -> {
+            final OptionalLong era = shard.reader().eraOf(replica);
             if (era.isPresent()) {
                 transport.request(
-                        keeper,
+                        replica,
                         new RecordWriteRequest(quorum.epoch(), keyedRecord, era.getAsLong()),
                         timeoutMs,
-                        reply -> onReply(keeper, reply));
+                        reply -> onReply(replica, reply));
             } else {
                 unanswered--;
-                staleKeepers.add(keeper);
+                staleReplicas.add(replica);
             }
         });
         loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, this::check);
@@ -112,37 +112,37 @@
         }
     }
 
-    private void onReply(final NodeId keeper, final Reply reply) {
+    private void onReply(final NodeId replica, final Reply reply) {
         unanswered--;
-        if (votingConfiguration.isEpochMismatch(keeper, reply)) {
-            staleKeepers.add(keeper);
+        if (votingConfiguration.isEpochMismatch(replica, reply)) {
+            staleReplicas.add(replica);
         }
         if (RejectedResponse.isStorageUnavailable(reply)) {
-            storeHealth.markSilent(keeper);
+            storeHealth.markSilent(replica);
         }
-        reply.as(RecordWriteResponse.class).ifPresent(response -> onResponse(keeper, response));
+        reply.as(RecordWriteResponse.class).ifPresent(response -> onResponse(replica, response));
         check();
     }
 
-    private void onResponse(final NodeId keeper, final RecordWriteResponse response) {
+    private void onResponse(final NodeId replica, final RecordWriteResponse response) {
         if (response.staleEra()) {
-            staleKeepers.add(keeper);
-            shard.reader().readAgain(keeper);
+            staleReplicas.add(replica);
+            shard.reader().readAgain(replica);
         } else if (response.standing() != null) {
-            storeHealth.recordSync(keeper);
+            storeHealth.recordSync(replica);
             onStanding(response.standing());
         } else if (response.accepted()) {
-            syncedBy.add(keeper);
-            storeHealth.recordSync(keeper);
+            syncedBy.add(replica);
+            storeHealth.recordSync(replica);
             if (!response.incomplete()) {
-                accepted.add(keeper);
+                accepted.add(replica);
             }
         } else {
-            superseded |= storeHealth.isStore(keeper);
+            superseded |= storeHealth.isStore(replica);
         }
     }
 
-    /** An outcome says more than any record without one. */
+    /** A record with an outcome takes precedence over a record without one. */
     private void onStanding(final KeyedRecord record) {
         if (standing == null || standing.outcome() == null) {
             standing = record;
@@ -171,15 +171,18 @@
         }
     }
 
-    /** Other replicas count now: what this set has acknowledged is handed over, and the new one is asked. */
+    /**
+     * Writes the record again to the replicas of the new epoch. Acknowledgements of the earlier epoch do not count in
+     * the new one; the records that they confirm are handed over to the new replicas.
+     */
     private void onVotingSetChange() {
         finished = true;
-        shard.whenReady(VOTING_CHANGE_PATIENCE_MS, () -> repeat(mayRepeat), this::fail);
+        shard.whenReady(VOTING_CHANGE_TIMEOUT_MS, () -> repeat(mayRepeat), this::fail);
     }
 
     private void finish(final boolean succeeded) {
         finished = true;
-        if (succeeded || superseded || staleKeepers.isEmpty() || !mayRepeat) {
+        if (succeeded || superseded || staleReplicas.isEmpty() || !mayRepeat) {
             callback.accept(new Result(succeeded ? Status.STORED : Status.FAILED, null));
             return;
         }
@@ -190,7 +193,7 @@
         callback.accept(new Result(Status.FAILED, null));
     }
 
-    /** Not over another process's intent that was found when the replicas were read again. */
+    /** Writes the record again, unless reading the replicas again has found an intent of another process. */
     private void repeat(final boolean mayRepeatAgain) {
         if (keyedRecord.outcome() == null && shard.entries().get(keyedRecord.key()).foreignRecord != null) {
             fail();
--- a/data/src/main/java/org/rowanvalve/data/limit/AttemptAllowance.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/AttemptAllowance.java
@@ -4,18 +4,18 @@
 import java.util.function.IntConsumer;
 
 /**
- * To how many origins one request may still be sent from this node. An attempt is committed before an origin is chosen
- * for it, so attempts that wait for a slot or for the rate limit count too; it is released only if surely no byte of it
- * was sent.
+ * The number of origins to which one request may still be sent from this node. An attempt is committed before its
+ * origin is chosen, so that attempts which wait for a slot or for the rate limit count too. A committed attempt is
+ * released only if it is certain that no byte of it was sent.
  */
 public final class AttemptAllowance {
-    private final Consumer<IntConsumer> source;
+    private final Consumer<IntConsumer> grants;
     private int granted;
     private int committed;
 
-    private AttemptAllowance(final int granted, final Consumer<IntConsumer> source) {
+    private AttemptAllowance(final int granted, final Consumer<IntConsumer> grants) {
         this.granted = granted;
-        this.source = source;
+        this.grants = grants;
     }
 
     /** A fixed number of attempts. */
@@ -23,37 +23,43 @@
         return new AttemptAllowance(granted, answer -> answer.accept(0));
     }
 
-    /** {@code source} is asked for each further attempt and answers once, with how many it reserves for this node. */
-    public static AttemptAllowance of(final int granted, final Consumer<IntConsumer> source) {
-        return new AttemptAllowance(granted, source);
+    /**
+     * Starts with {@code granted} attempts. {@code grants} is called for each further attempt and passes the number of
+     * attempts reserved for this node to its consumer, once.
+     */
+    public static AttemptAllowance of(final int granted, final Consumer<IntConsumer> grants) {
+        return new AttemptAllowance(granted, grants);
     }
 
-    /** Commits an attempt, requesting one more where none is left; {@code callback} gets whether there is one. */
+    /**
+     * Commits an attempt, requesting a further one if none is left. {@code callback} gets whether an attempt was
+     * committed.
+     */
     public void commit(final Consumer<Boolean> callback) {
         if (committed < granted) {
             committed++;
             callback.accept(true);
             return;
         }
-        source.accept(more -> {
-            granted += Math.max(0, more);
+        grants.accept(reserved -> {
+            granted += Math.max(0, reserved);
             final boolean available = committed < granted;
             committed += available ? 1 : 0;
             callback.accept(available);
         });
     }
 
-    /** Returns a committed attempt that surely was not made. */
+    /** Returns a committed attempt of which certainly no byte was sent. */
     public void release() {
         committed--;
     }
 
-    /** Whether an origin may have got the request from here. */
+    /** Whether an origin may have received the request from this node. */
     public boolean used() {
         return committed > 0;
     }
 
-    /** Attempts that were given and surely were not made. */
+    /** The number of granted attempts that were certainly not made. */
     public int unused() {
         return granted - committed;
     }
--- a/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
@@ -5,13 +5,19 @@
 import java.util.OptionalLong;
 import java.util.TreeSet;
 
-/** Spaces requests to one content store by this holder's share of its rate; no burst is ever saved up. */
+/**
+ * Spaces the requests to a service or an origin evenly at this node's share of the rate limit. Unused slots do not
+ * accumulate, so that no burst can build up.
+ */
 public final class RateLimiter {
     private final Map<String, Double> nextFreeAt = new HashMap<>();
-    /** Slots that were taken and are not used, by bucket: when they are due. */
-    private final Map<String, TreeSet<Long>> returned = new HashMap<>();
+    /** The due times of slots that were taken and returned unused, by bucket. */
+    private final Map<String, TreeSet<Long>> returnedSlots = new HashMap<>();
 
-    /** The wait until the slots taken, or empty where it would exceed {@code maxWaitMs}. */
+    /**
+     * Takes consecutive slots of a bucket. Returns the delay until the last of them in ms, or empty if the delay would
+     * exceed {@code maxWaitMs} and no slot was taken.
+     */
     public OptionalLong take(
             final String bucket,
             final double rate,
@@ -34,13 +40,13 @@
         return OptionalLong.of((long) Math.ceil(start + (slots - 1) * intervalMs) - now);
     }
 
-    /** A slot that was taken is not used: whoever asks next gets it, as long as it is not past. */
+    /** Returns an unused slot. The next request for a single slot gets it, unless its due time has passed. */
     public void giveBack(final String bucket, final long dueAt) {
-        returned.computeIfAbsent(bucket, k -> new TreeSet<>()).add(dueAt);
+        returnedSlots.computeIfAbsent(bucket, key -> new TreeSet<>()).add(dueAt);
     }
 
     private OptionalLong takeReturned(final String bucket, final long now, final long maxWaitMs) {
-        final TreeSet<Long> slots = returned.get(bucket);
+        final TreeSet<Long> slots = returnedSlots.get(bucket);
         if (slots == null) {
             return OptionalLong.empty();
         }
@@ -51,12 +57,13 @@
         return OptionalLong.of(slots.pollFirst() - now);
     }
 
+    /** The delay in ms until the next slot of a bucket is free, at least 1. */
     public long wait(final String bucket, final long now) {
         return Math.max(1, (long) (nextFreeAt.getOrDefault(bucket, (double) now) - now));
     }
 
     public void clear() {
         nextFreeAt.clear();
-        returned.clear();
+        returnedSlots.clear();
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/limit/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Rate limiting, the retry budget, and how many attempts one request may still make.
+ * Rate limiting, retry budgets, and the number of attempts that one request may still make.
  */
 package org.rowanvalve.data.limit;
--- a/data/src/main/java/org/rowanvalve/data/shield/Fill.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Fill.java
@@ -11,8 +11,8 @@
 import org.rowanvalve.data.cancel.Cancellation;
 
 /**
- * One fill for all who wait for an object. Once none of them waits any more, it is not sent; what was sent goes on, and its
- * response is kept in the cache.
+ * One fill from an origin, shared by all requests that wait for the same object. If every waiting request is cancelled
+ * before the fill is sent, the fill is not sent. A fill that was already sent continues, and its response is cached.
  */
 final class Fill {
     private final String path;
@@ -20,7 +20,7 @@
     private final List<Waiter> waiters = new ArrayList<>();
     private final Cancellation cancellation = new Cancellation(this::poll);
 
-    /** A request that the fill answers. */
+    /** A request that waits for the response of the fill. */
     record Waiter(ForwardedRequest request, long deadline, Consumer<ForwardResponse> callback) {
         ForwardRequest forward() {
             return request.forward();
@@ -48,7 +48,7 @@
         return waiters;
     }
 
-    /** Requested once none of those who joined waits any more. */
+    /** The cancellation of the fill, requested once all requests that joined the fill are cancelled. */
     Cancellation cancellation() {
         return cancellation;
     }
@@ -64,7 +64,10 @@
         }
     }
 
-    /** The fill is wanted while one of those who joined is known to wait. */
+    /**
+     * Confirms the fill if at least one of its requests is confirmed, and suspends it if some are unconfirmed and none
+     * is confirmed.
+     */
     private void poll() {
         final Set<Cancellation.Standing> standings = EnumSet.noneOf(Cancellation.Standing.class);
         waiters.forEach(waiter -> standings.add(waiter.cancellation().poll()));
--- a/data/src/main/java/org/rowanvalve/data/shield/ForwardConfirmation.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/ForwardConfirmation.java
@@ -16,25 +16,25 @@
 import org.rowanvalve.data.cancel.PauseMonitor;
 
 /**
- * After a pause of this process, asks the edges which of their requests they still wait for. A request that was here before
- * the pause, or that is read soon after it, may have been taken back by a message that is not read yet; it is suspended
- * until its edge has answered.
+ * Asks the edges, after a pause of this process, for which of their requests they still wait. A request that was
+ * received before the pause, or that is read soon after the pause, may have been cancelled by a message that has not
+ * been read yet. Such a request is suspended until its edge has responded.
  */
 final class ForwardConfirmation {
-    private static final long ANSWER_TIMEOUT_MILLIS = 300;
+    private static final long RESPONSE_TIMEOUT_MS = 300;
     private static final long RETRY_DELAY_MS = 100;
-    /** After it, an edge that does not answer counts as gone. */
-    private static final long GIVE_UP_MS = 3000;
+    /** After this time an edge that does not respond counts as disconnected, and its requests are cancelled. */
+    private static final long CONFIRMATION_TIMEOUT_MS = 3000;
 
     private final EventLoop loop;
     private final Transport transport;
     private final PauseMonitor pauses;
     private final OpenForwards openForwards;
-    private final Map<EdgeStart, Map<Long, Cancellation>> unasked = new LinkedHashMap<>();
+    private final Map<EdgeIncarnation, Map<Long, Cancellation>> unconfirmed = new LinkedHashMap<>();
     private long pauseCount;
 
-    /** One start of one edge. */
-    private record EdgeStart(NodeId edge, String incarnation) {
+    /** One run of an edge process. */
+    private record EdgeIncarnation(NodeId edge, String incarnation) {
         OpenForwards.Id id(final long serial) {
             return new OpenForwards.Id(edge, incarnation, serial);
         }
@@ -57,37 +57,44 @@
         openForwards.forEach(this::suspend);
     }
 
-    /** A request that was just read. */
+    /** Suspends a request that was just read, if it may have been sent before the end of a pause. */
     void onOpen(final OpenForwards.Id id, final Cancellation cancellation) {
         if (pauses.isCatchingUp()) {
             suspend(id, cancellation);
         }
     }
 
-    /** An edge of an earlier release, which states no start, takes nothing back. */
+    /**
+     * Suspends a request. Edges of earlier releases send no incarnation and never cancel a request, so theirs are not
+     * suspended.
+     */
     private void suspend(final OpenForwards.Id id, final Cancellation cancellation) {
         if (id.incarnation() == null || cancellation.isRequested()) {
             return;
         }
         cancellation.suspend();
-        if (unasked.isEmpty()) {
-            loop.execute(this::askAll);
+        if (unconfirmed.isEmpty()) {
+            loop.execute(this::askEdges);
         }
-        unasked.computeIfAbsent(new EdgeStart(id.edge(), id.incarnation()), start -> new HashMap<>())
+        unconfirmed
+                .computeIfAbsent(new EdgeIncarnation(id.edge(), id.incarnation()), edgeIncarnation -> new HashMap<>())
                 .put(id.serial(), cancellation);
     }
 
-    private void askAll() {
-        final Map<EdgeStart, Map<Long, Cancellation>> all = Map.copyOf(unasked);
-        unasked.clear();
-        final long giveUpAt = loop.now() + GIVE_UP_MS;
-        all.forEach((start, forwards) -> ask(start, forwards, pauseCount, giveUpAt));
+    private void askEdges() {
+        final Map<EdgeIncarnation, Map<Long, Cancellation>> pending = Map.copyOf(unconfirmed);
+        unconfirmed.clear();
+        final long giveUpAt = loop.now() + CONFIRMATION_TIMEOUT_MS;
+        pending.forEach((edgeIncarnation, forwards) -> askEdge(edgeIncarnation, forwards, pauseCount, giveUpAt));
     }
 
-    private void ask(
-            final EdgeStart start, final Map<Long, Cancellation> forwards, final long pause, final long giveUpAt) {
-        forwards.keySet().removeIf(serial -> !openForwards.isOpen(start.id(serial)));
-        if (forwards.isEmpty() || pause != pauseCount) {
+    private void askEdge(
+            final EdgeIncarnation edgeIncarnation,
+            final Map<Long, Cancellation> forwards,
+            final long pauseNumber,
+            final long giveUpAt) {
+        forwards.keySet().removeIf(serial -> !openForwards.isOpen(edgeIncarnation.id(serial)));
+        if (forwards.isEmpty() || pauseNumber != pauseCount) {
             return;
         }
         if (loop.now() >= giveUpAt) {
@@ -95,25 +102,28 @@
             return;
         }
         transport.request(
-                start.edge(),
-                new OpenForwardsRequest(start.incarnation(), List.copyOf(forwards.keySet())),
-                ANSWER_TIMEOUT_MILLIS,
-                reply -> onReply(start, forwards, pause, giveUpAt, reply));
+                edgeIncarnation.edge(),
+                new OpenForwardsRequest(edgeIncarnation.incarnation(), List.copyOf(forwards.keySet())),
+                RESPONSE_TIMEOUT_MS,
+                reply -> onReply(edgeIncarnation, forwards, pauseNumber, giveUpAt, reply));
     }
 
-    /** What an edge said before another pause may be out of date; after that one it is asked again. */
+    /**
+     * Settles the requests by an edge's response. A response from before a later pause may be out of date and is
+     * ignored; the edge is asked again after the later pause.
+     */
     private void onReply(
-            final EdgeStart start,
+            final EdgeIncarnation edgeIncarnation,
             final Map<Long, Cancellation> forwards,
-            final long pause,
+            final long pauseNumber,
             final long giveUpAt,
             final Reply reply) {
         pauses.check();
         final OpenForwardsResponse response =
                 reply.as(OpenForwardsResponse.class).orElse(null);
         if (response == null) {
-            loop.schedule(RETRY_DELAY_MS, () -> ask(start, forwards, pause, giveUpAt));
-        } else if (pause == pauseCount) {
+            loop.schedule(RETRY_DELAY_MS, () -> askEdge(edgeIncarnation, forwards, pauseNumber, giveUpAt));
+        } else if (pauseNumber == pauseCount) {
             final Set<Long> open = Set.copyOf(response.serials());
             forwards.forEach((serial, cancellation) -> settle(cancellation, open.contains(serial)));
         }
--- a/data/src/main/java/org/rowanvalve/data/shield/ForwardedRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/ForwardedRequest.java
@@ -4,5 +4,5 @@
 import org.rowanvalve.data.cancel.Cancellation;
 import org.rowanvalve.data.limit.AttemptAllowance;
 
-/** A request as an edge sent it, with the attempts that this node may make for it. */
+/** A request forwarded by an edge, with its allowance of attempts at this node and its cancellation. */
 record ForwardedRequest(ForwardRequest forward, AttemptAllowance attempts, Cancellation cancellation) {}
--- a/data/src/main/java/org/rowanvalve/data/shield/OpenForwards.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/OpenForwards.java
@@ -12,41 +12,49 @@
 import org.rowanvalve.data.cancel.Cancellation;
 
 /**
- * The requests of edges that this shield has not answered, and those that were taken back before they came: a message may
- * overtake another on a connection of its own. What was taken back is remembered for a while, and for a bounded number of
- * requests; one that comes later than that is bounded by its own time-out only.
+ * The requests of edges that this shield has not answered yet, and the cancels that arrived before their requests. A
+ * cancel can overtake its request, because the two may be sent on different connections. Such early cancels are kept
+ * for a limited time and up to a limited number; a request that arrives after its cancel was evicted is bounded only by
+ * its own time-out.
  */
 final class OpenForwards {
-    /** Requests that were taken back and are remembered; at some 100 bytes each. */
-    static final int MAX_REMEMBERED = 4096;
-    /** Longer than a request and its cancel are apart on two connections, of which one is given up for silence. */
-    static final long REMEMBERED_MS = 10_000;
+    /** The largest number of early cancels kept, at about 100 bytes each. */
+    static final int MAX_EARLY_CANCELS = 4096;
+    /**
+     * Exceeds the longest delay between a request and its cancel on two connections, of which one is closed because its
+     * peer is silent.
+     */
+    static final long EARLY_CANCEL_TTL_MS = 10_000;
 
-    /** Connections that ended and are remembered, for requests whose handling is put off meanwhile. */
+    /**
+     * The largest number of ended connections kept, for requests that are handled only after their connection has
+     * ended.
+     */
     private static final int MAX_ENDED_CONNECTIONS = 256;
 
-    private final Map<Id, Open> open = new HashMap<>();
+    private final Map<Id, OpenRequest> open = new HashMap<>();
     private final LinkedHashSet<Long> endedConnections = new LinkedHashSet<>();
-    private final LinkedHashMap<Id, Early> early = new LinkedHashMap<>();
+    private final LinkedHashMap<Id, EarlyCancel> earlyCancels = new LinkedHashMap<>();
 
-    /** One request: serials are counted from each start of an edge. */
+    /** Identifies a request. Serials start anew with each incarnation of an edge. */
     record Id(NodeId edge, String incarnation, long serial) {}
 
-    private record Open(Cancellation cancellation, long connectionId) {}
+    private record OpenRequest(Cancellation cancellation, long connectionId) {}
 
-    private record Early(CancelCause cause, long at) {}
+    private record EarlyCancel(CancelCause cause, long at) {}
 
     /**
-     * A request that came on this connection; {@code cancellation} is requested at once if it was taken back before.
+     * Adds a request that was received on the connection {@code connectionId}. Requests {@code cancellation} at once if
+     * the request was already cancelled, or if the connection has ended.
      */
     void open(final Id id, final Cancellation cancellation, final long connectionId, final long now) {
-        final Early cancelled = early.remove(id);
-        if (cancelled != null && now - cancelled.at() < REMEMBERED_MS) {
-            cancellation.request(cancelled.cause());
+        final EarlyCancel earlyCancel = earlyCancels.remove(id);
+        if (earlyCancel != null && now - earlyCancel.at() < EARLY_CANCEL_TTL_MS) {
+            cancellation.request(earlyCancel.cause());
         } else if (endedConnections.contains(connectionId)) {
             cancellation.request(CancelCause.EDGE_DISCONNECTED);
         }
-        open.put(id, new Open(cancellation, connectionId));
+        open.put(id, new OpenRequest(cancellation, connectionId));
     }
 
     boolean isOpen(final Id id) {
@@ -54,52 +62,54 @@
     }
 
     void forEach(final BiConsumer<Id, Cancellation> action) {
-        open.forEach((id, known) -> action.accept(id, known.cancellation()));
+        open.forEach((id, openRequest) -> action.accept(id, openRequest.cancellation()));
     }
 
-    /** The request is answered. */
+    /** Removes a request that has been answered. */
     void close(final Id id) {
         open.remove(id);
     }
 
     void cancel(final Id id, final CancelCause cause, final long now) {
-        final Open known = open.get(id);
-        if (known != null) {
-            known.cancellation().request(cause);
+        final OpenRequest openRequest = open.get(id);
+        if (openRequest != null) {
+            openRequest.cancellation().request(cause);
             return;
         }
-        early.put(id, new Early(cause, now));
-        forgetOld(now);
+        earlyCancels.put(id, new EarlyCancel(cause, now));
+        evictEarlyCancels(now);
     }
 
-    private void forgetOld(final long now) {
-        final Iterator<Early> eldest = early.values().iterator();
+    private void evictEarlyCancels(final long now) {
+        final Iterator<EarlyCancel> eldest = earlyCancels.values().iterator();
         while (eldest.hasNext()) {
-            final boolean old = now - eldest.next().at() >= REMEMBERED_MS;
-            if (!old && early.size() <= MAX_REMEMBERED) {
+            final boolean expired = now - eldest.next().at() >= EARLY_CANCEL_TTL_MS;
+            if (!expired && earlyCancels.size() <= MAX_EARLY_CANCELS) {
                 return;
             }
             eldest.remove();
         }
     }
 
-    /** Requests that came on this connection can no longer be answered. */
+    /**
+     * Cancels the requests that were received on a connection which has ended, since their responses cannot be sent.
+     */
     void cancelAll(final long connectionId) {
         endedConnections.add(connectionId);
         if (endedConnections.size() > MAX_ENDED_CONNECTIONS) {
             endedConnections.remove(endedConnections.iterator().next());
         }
-        final List<Open> lost = open.values().stream()
-                .filter(known -> known.connectionId() == connectionId)
+        final List<OpenRequest> unanswerable = open.values().stream()
+                .filter(openRequest -> openRequest.connectionId() == connectionId)
                 .toList();
-        lost.forEach(known -> known.cancellation().request(CancelCause.EDGE_DISCONNECTED));
+        unanswerable.forEach(openRequest -> openRequest.cancellation().request(CancelCause.EDGE_DISCONNECTED));
     }
 
     int size() {
         return open.size();
     }
 
-    int rememberedCount() {
-        return early.size();
+    int earlyCancelCount() {
+        return earlyCancels.size();
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/shield/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -38,18 +38,24 @@
 import org.rowanvalve.data.settings.NodeSettings;
 
 /**
- * Answers edges: from its cache, by one fill for many, by passing a request through, or by executing it at most once.
+ * Answers the requests of edges from its cache, by a fill shared by all requests for an object, by passing a request
+ * through to an origin, or by executing a keyed request at most once.
  */
 public final class Shield {
     private static final int MAX_WAITERS = 512;
-    /** How long a keyed request waits at most for the records to be read. */
-    private static final long KEYED_PATIENCE_MS = 1500;
-    /** How long an edge has to say whether one more attempt may be made, in ms. */
-    private static final long GRANT_TIMEOUT_MILLIS = 300;
+    /** The longest time for which a keyed request waits for the records of its shard to be read. */
+    private static final long MAX_RECORD_READ_WAIT_MS = 1500;
+    /** The time within which an edge must respond to a request for one more attempt. */
+    private static final long GRANT_TIMEOUT_MS = 300;
 
-    private static final long LONGEST_PATIENCE_MS = 400;
-    /** An edge that is told this asks another shield at once. */
-    private static final long ASK_ANOTHER_MS = 500;
+    /** The longest time for which a request waits for the configuration version that its edge knows. */
+    private static final long MAX_UPDATE_WAIT_MS = 400;
+
+    private static final long UPDATE_POLL_INTERVAL_MS = 50;
+    /** A further fill for a request is started only if more time than this remains until its deadline. */
+    private static final long MIN_REFILL_TIME_MS = 200;
+    /** An edge that gets this delay with a rejection tries another shield at once. */
+    private static final long OTHER_SHIELD_RETRY_MS = 500;
 
     private static final long BEHIND_RETRY_MS = 1000;
 
@@ -74,7 +80,7 @@
             final ConfigurationView configuration,
             final LeaseHolder leases,
             final OriginDispatcher dispatcher,
-            final KeyedRequests atMostOnce,
+            final KeyedRequests keyedRequests,
             final BooleanSupplier viewFresh,
             final Runnable pollView,
             final NodeSettings settings,
@@ -84,7 +90,7 @@
         this.configuration = configuration;
         this.leases = leases;
         this.dispatcher = dispatcher;
-        this.keyedRequests = atMostOnce;
+        this.keyedRequests = keyedRequests;
         this.viewFresh = viewFresh;
         this.pollView = pollView;
         this.settings = settings;
@@ -100,7 +106,7 @@
                 RequestOutcome.REFUSED, status, reason, leases.token(request.shard()), retryAfterMs);
     }
 
-    /** {@code from}: the edge that keeps count of the request's attempts. */
+    /** Handles a request of the edge {@code from}, which also grants further attempts for the request. */
     public void handle(final NodeId from, final ForwardRequest request, final Transport.Responder callback) {
         final AttemptAllowance attempts = allowance(from, request);
         final OpenForwards.Id id = new OpenForwards.Id(from, request.incarnation(), request.serial());
@@ -110,39 +116,39 @@
         handle(
                 new ForwardedRequest(request, attempts, cancellation),
                 loop.now() + request.timeoutMs(),
-                loop.now() + patienceMs(request),
-                answer -> {
+                loop.now() + maxWaitMs(request),
+                response -> {
                     openForwards.close(id);
-                    callback.accept(request.attempts() == null ? answer : answer.withUnusedAttempts(attempts.unused()));
+                    callback.accept(
+                            request.attempts() == null ? response : response.withUnusedAttempts(attempts.unused()));
                 });
     }
 
-    /** An edge takes a request back. */
     public void cancel(final NodeId from, final CancelRequest request) {
         openForwards.cancel(
                 new OpenForwards.Id(from, request.incarnation(), request.serial()), request.cause(), loop.now());
     }
 
     /**
-     * How long a request waits until this node knows what its edge knows; a read for a quarter of its latency target at
-     * most.
+     * The longest time for which a request waits until this node knows the configuration versions that the edge knows.
+     * A cached read waits for at most a quarter of the latency target of its route.
      */
-    private long patienceMs(final ForwardRequest request) {
+    private long maxWaitMs(final ForwardRequest request) {
         final long targetMs = configuration
                 .routeNamed(request.route())
                 .filter(configured -> configured.route().hasMode(RouteMode.CACHED))
-                .map(reply -> reply.route().latencyTargetMs())
+                .map(configured -> configured.route().latencyTargetMs())
                 .orElse(0L);
         return Math.min(
-                targetMs > 0 ? targetMs / 4 : LONGEST_PATIENCE_MS, Math.min(LONGEST_PATIENCE_MS, request.timeoutMs()));
+                targetMs > 0 ? targetMs / 4 : MAX_UPDATE_WAIT_MS, Math.min(MAX_UPDATE_WAIT_MS, request.timeoutMs()));
     }
 
-    /** An edge that states no attempts counts none, so the route alone bounds them here. */
+    /** The attempts that this node may make. If the edge states no number, only the limit of the route applies. */
     private AttemptAllowance allowance(final NodeId from, final ForwardRequest request) {
         if (request.attempts() == null) {
             return AttemptAllowance.of(configuration
                     .routeNamed(request.route())
-                    .map(reply -> reply.route().maxAttempts())
+                    .map(configured -> configured.route().maxAttempts())
                     .orElse(1));
         }
         return AttemptAllowance.of(
@@ -150,39 +156,39 @@
                 callback -> transport.request(
                         from,
                         new AttemptGrantRequest(request.serial()),
-                        GRANT_TIMEOUT_MILLIS,
+                        GRANT_TIMEOUT_MS,
                         reply -> callback.accept(reply.as(AttemptGrantResponse.class)
                                 .map(AttemptGrantResponse::count)
                                 .orElse(0))));
     }
 
     private void handle(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final long deadline,
-            final long patienceUntil,
+            final long waitUntil,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
-        if (call.cancellation().isRequested()) {
+        final ForwardRequest request = forwarded.forward();
+        if (forwarded.cancellation().isRequested()) {
             callback.accept(reject(request, 503, OriginDispatch.CANCELLED, 0));
             return;
         }
         final ConfiguredRoute route = configuration.routeNamed(request.route()).orElse(null);
         final VersionVector versions = route == null ? null : configuration.versionsOf(route, request.path());
         if (route == null || isBehind(request, versions)) {
-            if (loop.now() >= patienceUntil || request.passThrough() && !viewFresh.getAsBoolean()) {
+            if (loop.now() >= waitUntil || request.passThrough() && !viewFresh.getAsBoolean()) {
                 callback.accept(reject(
                         request,
                         503,
                         ForwardResponse.BEHIND,
-                        request.passThrough() ? ASK_ANOTHER_MS : BEHIND_RETRY_MS));
+                        request.passThrough() ? OTHER_SHIELD_RETRY_MS : BEHIND_RETRY_MS));
             } else {
                 pollView.run();
-                loop.schedule(50, () -> handle(call, deadline, patienceUntil, callback));
+                loop.schedule(UPDATE_POLL_INTERVAL_MS, () -> handle(forwarded, deadline, waitUntil, callback));
             }
             return;
         }
         if (request.passThrough()) {
-            passThrough(call, route, deadline, callback);
+            passThrough(forwarded, route, deadline, callback);
         } else if (request.shard()
                 != ShardRouting.shardOf(
                         route,
@@ -198,15 +204,15 @@
         } else if (route.route().purgeable() && !viewFresh.getAsBoolean()) {
             callback.accept(reject(request, 503, "the holder's frame is not confirmed", 1000));
         } else if (route.route().hasMode(RouteMode.CACHED)) {
-            fillCached(call, route, versions, deadline, callback);
+            fillCached(forwarded, route, versions, deadline, callback);
         } else if (route.route().hasMode(RouteMode.KEYED)) {
-            runKeyed(call, route, deadline, callback);
+            runKeyed(forwarded, route, deadline, callback);
         } else {
-            sendThrough(call, route, deadline, callback);
+            sendUnderLease(forwarded, route, deadline, callback);
         }
     }
 
-    /** Whether the edge knows a newer version of what the request concerns. */
+    /** Whether the edge knows a newer version of the route, or a newer purge for the request, than this node. */
     private boolean isBehind(final ForwardRequest request, final VersionVector versions) {
         return request.versions() != null && !versions.covers(request.versions())
                 || request.routeVersion() != null && request.routeVersion() > routeVersion(request.route());
@@ -217,8 +223,9 @@
     }
 
     /**
-     * The service that the edge has chosen by its confirmed view, so that no edge falls back to an older version through
-     * a shield that lags behind it, or is ahead of another shield; else as this node's own view says.
+     * The service for a request: the one that the edge chose by its confirmed view, if this node knows it, otherwise
+     * the one that this node chooses by its own view. Using the choice of the edge ensures that no edge falls back to
+     * an older route version because one shield lags behind the edge or is ahead of another shield.
      */
     private String serviceOf(final ForwardRequest request, final ConfiguredRoute route) {
         return request.service() != null && configuration.hasService(request.service())
@@ -231,32 +238,32 @@
                                         : request.requestId()));
     }
 
-    /** Requests that need no lease, or are passed through uncached while nobody holds it. */
+    /** Sends requests that need no lease, or that are passed through uncached while no shield holds the lease. */
     private void passThrough(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final long deadline,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         if (!route.route().anyShield() || route.route().hasMode(RouteMode.KEYED)) {
             callback.accept(reject(request, 503, "this route needs the right to fill", 500));
             return;
         }
-        sendUncached(call, route, OriginRequest.NO_SHARD, deadline, callback);
+        sendUncached(forwarded, route, OriginRequest.NO_SHARD, deadline, callback);
     }
 
     private void sendUncached(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final int shard,
             final long deadline,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         final boolean atMostOnce = route.route().hasMode(RouteMode.AT_MOST_ONCE);
         final OriginRequest.WhenCancelled whenCancelled =
                 atMostOnce ? OriginRequest.WhenCancelled.FINISH_SENT : OriginRequest.WhenCancelled.ABORT_SENT;
         dispatcher.send(
-                originRequest(call, route, shard, atMostOnce, deadline, call.cancellation(), whenCancelled),
+                originRequest(forwarded, route, shard, atMostOnce, deadline, forwarded.cancellation(), whenCancelled),
                 completion -> callback.accept(
                         completion.response().result() == OriginTransport.ExchangeResult.COMPLETE
                                 ? completed(request, completion.response())
@@ -277,14 +284,14 @@
     }
 
     private OriginRequest originRequest(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final int shard,
             final boolean atMostOnce,
             final long deadline,
             final Cancellation cancellation,
             final OriginRequest.WhenCancelled whenCancelled) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         return new OriginRequest(
                 shard,
                 new OriginTransport.OutboundRequest(
@@ -300,8 +307,8 @@
                 atMostOnce,
                 deadline,
                 route.route().priority(),
-                call.attempts(),
-                request.retry() || call.attempts().used(),
+                forwarded.attempts(),
+                request.retry() || forwarded.attempts().used(),
                 cancellation,
                 whenCancelled);
     }
@@ -315,18 +322,18 @@
     }
 
     private void fillCached(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final VersionVector versions,
             final long deadline,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         if (!route.route().services().contains(serviceOf(request, route))) {
-            sendThrough(call, route, deadline, callback);
+            sendUnderLease(forwarded, route, deadline, callback);
             return;
         }
         final String key = ShardRouting.cacheKey(route, request.path(), null);
-        final CachedResponse copy = leases.mayServe(request.shard()) ? usableCopy(request, key, versions) : null;
+        final CachedResponse copy = leases.mayServe(request.shard()) ? findServableCopy(request, key, versions) : null;
         if (copy != null && copy.isFrom(route.route())) {
             callback.accept(respondFrom(request, copy));
             return;
@@ -336,7 +343,7 @@
             if (current.waiters().size() >= MAX_WAITERS) {
                 callback.accept(reject(request, 503, "too many wait for this object", 1000));
             } else {
-                current.join(new Fill.Waiter(call, deadline, callback));
+                current.join(new Fill.Waiter(forwarded, deadline, callback));
             }
             return;
         }
@@ -345,9 +352,9 @@
         }
         final Fill fill = new Fill(request.path(), versions);
         fills.put(key, fill);
-        fill.join(new Fill.Waiter(call, deadline, callback));
+        fill.join(new Fill.Waiter(forwarded, deadline, callback));
         final OriginRequest originRequest = originRequest(
-                call,
+                forwarded,
                 route,
                 request.shard(),
                 false,
@@ -360,8 +367,12 @@
         });
     }
 
-    /** Without a lease, what is cached is still served, for as long as the route allows a stale copy. */
-    private CachedResponse usableCopy(final ForwardRequest request, final String key, final VersionVector versions) {
+    /**
+     * A copy that may be served now. While this node may not fill, a copy past its lifetime is served within the stale
+     * grace period.
+     */
+    private CachedResponse findServableCopy(
+            final ForwardRequest request, final String key, final VersionVector versions) {
         return (leases.mayFill(request.shard())
                         ? cache.findFresh(key, loop.now(), versions)
                         : cache.findUsable(key, loop.now(), versions))
@@ -393,19 +404,19 @@
                 tags,
                 service);
         final ConfiguredRoute current = configuration.routeNamed(route.name()).orElse(null);
-        final boolean unpurged = tagsUnchanged
+        final boolean isUnpurged = tagsUnchanged
                 && current != null
                 && configuration.versionsOf(current, fill.path()).equals(fill.versions());
-        final boolean unchanged = unpurged && current.route().services().contains(service);
-        if (unchanged && response.status() == 200) {
+        final boolean isCurrent = isUnpurged && current.route().services().contains(service);
+        if (isCurrent && response.status() == 200) {
             cache.put(key, copy);
         }
         for (final Fill.Waiter waiter : fill.waiters()) {
-            if (unchanged) {
+            if (isCurrent) {
                 waiter.callback().accept(respondFrom(waiter.forward(), copy));
-            } else if (unpurged && service.equals(waiter.forward().service())) {
+            } else if (isUnpurged && service.equals(waiter.forward().service())) {
                 waiter.callback().accept(completed(waiter.forward(), response));
-            } else if (current != null && loop.now() + 200 < waiter.deadline()) {
+            } else if (current != null && loop.now() + MIN_REFILL_TIME_MS < waiter.deadline()) {
                 handle(waiter.request(), waiter.deadline(), loop.now(), waiter.callback());
             } else {
                 waiter.callback().accept(reject(waiter.forward(), 503, "purged while it was filled", 500));
@@ -413,7 +424,10 @@
         }
     }
 
-    /** Who joined a fill that was cancelled before, and that had no further try for that reason, gets a fill of its own. */
+    /**
+     * Responds to a request whose fill has failed. A request that is not cancelled is handled anew if the fill was
+     * cancelled, because the cancelled fill made no further attempt.
+     */
     private void onFillFailed(final Fill fill, final Fill.Waiter waiter, final OriginDispatcher.Completion completion) {
         if (fill.cancellation().isRequested() && !waiter.cancellation().isRequested()) {
             handle(waiter.request(), waiter.deadline(), loop.now(), waiter.callback());
@@ -446,23 +460,23 @@
                 completion.retryAfterMs());
     }
 
-    private void sendThrough(
-            final ForwardedRequest call,
+    private void sendUnderLease(
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final long deadline,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         if (mayFill(request, callback)) {
-            sendUncached(call, route, request.shard(), deadline, callback);
+            sendUncached(forwarded, route, request.shard(), deadline, callback);
         }
     }
 
     private void runKeyed(
-            final ForwardedRequest call,
+            final ForwardedRequest forwarded,
             final ConfiguredRoute route,
             final long deadline,
             final Consumer<ForwardResponse> callback) {
-        final ForwardRequest request = call.forward();
+        final ForwardRequest request = forwarded.forward();
         if (request.key() == null) {
             callback.accept(reject(request, 400, "a keyed request lacks its key", 0));
         } else if (mayFill(request, callback)) {
@@ -474,19 +488,20 @@
                             : ShardRouting.cacheKey(route, request.path(), request.key()),
                     Hash.sha256Hex((request.path() + "\n" + Hash.sha256Hex(body))
                             .getBytes(java.nio.charset.StandardCharsets.UTF_8)),
-                    Math.min(KEYED_PATIENCE_MS, Math.max(0, deadline - loop.now()) / 2),
-                    call.cancellation(),
-                    then -> dispatcher.send(keyedRequest(call, route, deadline), then),
+                    Math.min(MAX_RECORD_READ_WAIT_MS, Math.max(0, deadline - loop.now()) / 2),
+                    forwarded.cancellation(),
+                    then -> dispatcher.send(keyedRequest(forwarded, route, deadline), then),
                     callback);
         }
     }
 
-    /** Once its intent is recorded, a keyed request runs to its outcome, whoever waits for it. */
-    private OriginRequest keyedRequest(final ForwardedRequest call, final ConfiguredRoute route, final long deadline) {
+    /** A keyed request is never cancelled after its intent is recorded, so that its outcome is recorded too. */
+    private OriginRequest keyedRequest(
+            final ForwardedRequest forwarded, final ConfiguredRoute route, final long deadline) {
         return originRequest(
-                call,
+                forwarded,
                 route,
-                call.forward().shard(),
+                forwarded.forward().shard(),
                 true,
                 deadline,
                 Cancellation.NEVER,
--- a/data/src/test/java/org/rowanvalve/data/VirtualTimeLoop.java
+++ b/data/src/test/java/org/rowanvalve/data/VirtualTimeLoop.java
@@ -3,16 +3,16 @@
 import java.util.PriorityQueue;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** A loop on virtual time. */
+/** An event loop on virtual time. */
 public final class VirtualTimeLoop implements EventLoop {
-    private final PriorityQueue<Due> queue = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledJob> queue = new PriorityQueue<>();
     private long now = 10_000;
-    private long seq;
+    private long sequence;
 
-    private record Due(long at, long seq, Runnable job) implements Comparable<Due> {
+    private record ScheduledJob(long at, long sequence, Runnable job) implements Comparable<ScheduledJob> {
         @Override
-        public int compareTo(final Due o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(seq, o.seq);
+        public int compareTo(final ScheduledJob other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -23,14 +23,15 @@
 
     @Override
     public void schedule(final long ms, final Runnable job) {
-        queue.add(new Due(now + Math.max(0, ms), seq++, job));
+        queue.add(new ScheduledJob(now + Math.max(0, ms), sequence++, job));
     }
 
-    /** Time passes, and nothing runs: what was due meanwhile is late. */
+    /** Advances the time without running any job, as a pause of the process does; jobs that become due run late. */
     public void pause(final long ms) {
         now += ms;
     }
 
+    /** Advances the time by {@code ms} and runs the jobs that become due. */
     public void run(final long ms) {
         final long end = now + ms;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedHolderFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedHolderFixture.java
@@ -28,31 +28,31 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.origin.OriginTransport;
 
-/** A holder of one shard before real record stores on virtual time, and requests with keys that it takes. */
+/** A lease holder of one shard, with real record replicas on virtual time, and the keyed requests submitted to it. */
 abstract class KeyedHolderFixture {
-    private static final NodeId BOSS = NodeId.of("boss");
+    private static final NodeId LEADER = NodeId.of("leader");
     static final int SHARD = 3;
     static final FencingToken TOKEN = new FencingToken(1, 1);
     static final NodeId A = NodeId.of("a");
     static final NodeId B = NodeId.of("b");
     static final NodeId C = NodeId.of("c");
-    final RecordKeepersFixture keepers = new RecordKeepersFixture();
-    final LeaseHolder leases = holder();
-    final List<RequestOutcome> answers = new ArrayList<>();
-    final List<ForwardResponse> filled = new ArrayList<>();
-    int sent;
+    final RecordKeepersFixture replicas = new RecordKeepersFixture();
+    final LeaseHolder leases = startHolder();
+    final List<RequestOutcome> outcomes = new ArrayList<>();
+    final List<ForwardResponse> responses = new ArrayList<>();
+    int sentCount;
 
-    /** One that holds the shard, by an authority that answers every renewal. */
-    private LeaseHolder holder() {
-        final EventJournal journal = keepers.journal;
-        final ItemStore items = new ItemStore(keepers.loop, journal);
-        final LeaseHolder h = new LeaseHolder(
-                keepers.loop,
-                (recipient, msg, wait, then) -> {
-                    if (msg instanceof LeaseRenewRequest) {
-                        keepers.loop.schedule(
+    /** Starts a holder whose lease is granted by a leader that acknowledges every renewal. */
+    private LeaseHolder startHolder() {
+        final EventJournal journal = replicas.journal;
+        final ItemStore items = new ItemStore(replicas.loop, journal);
+        final LeaseHolder holder = new LeaseHolder(
+                replicas.loop,
+                (recipient, message, timeoutMs, callback) -> {
+                    if (message instanceof LeaseRenewRequest) {
+                        replicas.loop.schedule(
                                 1,
-                                () -> then.accept(Reply.of(new LeaseRenewResponse(
+                                () -> callback.accept(Reply.of(new LeaseRenewResponse(
                                         1,
                                         true,
                                         List.of(new ShardLease(SHARD, TOKEN, LeaseState.GRANTED)),
@@ -65,49 +65,52 @@
                 () -> true,
                 List::of,
                 (shard, grace, done) -> done.accept(true));
-        h.start();
+        holder.start();
         items.merge(new ChosenItem(
                 new Ballot(1, "x"),
                 Item.none(ItemId.LEADERSHIP)
-                        .successor(Json.write(new Leadership("boss", "b", 1, 1, false, 0, 0, 0)), "t")));
-        keepers.loop.run(100);
-        h.onGrant(
-                BOSS, new LeaseGrantRequest(1, 1, List.of(new ShardLease(SHARD, TOKEN, LeaseState.GRANTED))), m -> {});
-        return h;
+                        .successor(Json.write(new Leadership("leader", "b", 1, 1, false, 0, 0, 0)), "t")));
+        replicas.loop.run(100);
+        holder.onGrant(
+                LEADER,
+                new LeaseGrantRequest(1, 1, List.of(new ShardLease(SHARD, TOKEN, LeaseState.GRANTED))),
+                response -> {});
+        return holder;
     }
 
-    KeyedRequests desk(final String boot) {
+    KeyedRequests newKeyedRequests(final String process) {
         return new KeyedRequests(
-                keepers.votingConfiguration,
-                keepers.loop,
-                keepers,
+                replicas.votingConfiguration,
+                replicas.loop,
+                replicas,
                 leases,
-                keepers.journal,
-                new StoreHealth(keepers.votingConfiguration.quorum(), keepers.loop, keepers.journal),
-                boot,
+                replicas.journal,
+                new StoreHealth(replicas.votingConfiguration.quorum(), replicas.loop, replicas.journal),
+                process,
                 RecordKeepersFixture.RETENTION);
     }
 
-    void take(final KeyedRequests desk, final String key, final long patience) {
-        take(desk, key, patience, Cancellation.NEVER);
+    void submit(final KeyedRequests target, final String key, final long maxWaitMs) {
+        submit(target, key, maxWaitMs, Cancellation.NEVER);
     }
 
-    void take(final KeyedRequests desk, final String key, final long patience, final Cancellation cancellation) {
-        desk.handle(
+    void submit(final KeyedRequests target, final String key, final long maxWaitMs, final Cancellation cancellation) {
+        target.handle(
                 SHARD,
                 key,
                 "d".repeat(64),
-                patience,
+                maxWaitMs,
                 cancellation,
-                then -> {
-                    sent++;
+                callback -> {
+                    sentCount++;
                     final OriginTransport.OriginResponse response = new OriginTransport.OriginResponse(
                             OriginTransport.ExchangeResult.COMPLETE, 201, Map.of(), new byte[] {7}, "");
-                    keepers.loop.schedule(5, () -> then.accept(new OriginDispatcher.Completion(response, true, 0, 0)));
+                    replicas.loop.schedule(
+                            5, () -> callback.accept(new OriginDispatcher.Completion(response, true, 0, 0)));
                 },
-                f -> {
-                    answers.add(f.fate());
-                    filled.add(f);
+                response -> {
+                    outcomes.add(response.fate());
+                    responses.add(response);
                 });
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
@@ -26,58 +26,62 @@
 import org.rowanvalve.control.voting.VotingSet;
 import org.rowanvalve.data.cancel.Cancellation;
 
-/** How a holder reads and writes the records of its shards, against real record stores on virtual time. */
+/**
+ * Tests how a lease holder reads and writes the records of its shards, against real record replicas on virtual time.
+ */
 class KeyedRequestsTest extends KeyedHolderFixture {
-    private long shortages() {
-        return keepers.journal.recent().stream()
+    private long shortageEvents() {
+        return replicas.journal.recent().stream()
                 .filter(entry -> entry.event().code() == EventCode.KEEP_SHORT)
                 .count();
     }
 
     @Test
-    void aReadingIsOneForAllWhoWaitAndHasNoBodies() {
-        keepers.fill(SHARD, 110, 1500);
-        keepers.bytes.clear();
-        final KeyedRequests desk = desk("w");
+    void waitingRequestsShareOneReadWithoutBodies() {
+        replicas.writeRecords(SHARD, 110, 1500);
+        replicas.responseBytes.clear();
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
         for (int i = 0; i < 60; i++) {
-            take(desk, "new-" + i, 1000);
+            submit(keyedRequests, "new-" + i, 1000);
         }
-        keepers.loop.run(500);
-        assertEquals(60, answers.stream().filter(RequestOutcome.DONE::equals).count(), answers.toString());
-        assertTrue(keepers.asked.get("RecordReadRequest") <= 6, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("RecordReadResponse") < 3 * 110 * 300, "bytes " + keepers.bytes);
+        replicas.loop.run(500);
+        assertEquals(60, outcomes.stream().filter(RequestOutcome.DONE::equals).count(), outcomes.toString());
+        assertTrue(replicas.requestCounts.get("RecordReadRequest") <= 6, "requests: " + replicas.requestCounts);
+        assertTrue(
+                replicas.responseBytes.get("RecordReadResponse") < 3 * 110 * 300, "bytes: " + replicas.responseBytes);
     }
 
-    /** Bytes of a reading grow with the records that stand, and with nothing else. */
+    /** The bytes of a read depend only on the number of stored records. */
     @Test
-    void bytesOfAReadingAreBoundedByTheRecords() {
-        final Map<Integer, Long> cost = new HashMap<>();
+    void readSizeIsProportionalToTheNumberOfRecords() {
+        final Map<Integer, Long> bytesByRecordCount = new HashMap<>();
         for (final int records : List.of(100, 1000)) {
-            final RecordKeepersFixture some = new RecordKeepersFixture();
-            some.fill(SHARD, records, 1500);
-            some.bytes.clear();
-            read(some, 5000);
-            cost.put(records, some.bytes.get("RecordReadResponse"));
+            final RecordKeepersFixture fixture = new RecordKeepersFixture();
+            fixture.writeRecords(SHARD, records, 1500);
+            fixture.responseBytes.clear();
+            readRecords(fixture, 5000);
+            bytesByRecordCount.put(records, fixture.responseBytes.get("RecordReadResponse"));
             assertTrue(
-                    some.bytes.get("RecordReadResponse") <= 3L * records * 290 + 3 * 300, records + ": " + some.bytes);
+                    fixture.responseBytes.get("RecordReadResponse") <= 3L * records * 290 + 3 * 300,
+                    records + ": " + fixture.responseBytes);
         }
-        final double growth = (double) cost.get(1000) / cost.get(100);
-        assertTrue(growth > 9 && growth < 10.5, "ten times the records: " + growth);
+        final double byteRatio = (double) bytesByRecordCount.get(1000) / bytesByRecordCount.get(100);
+        assertTrue(byteRatio > 9 && byteRatio < 10.5, "ten times the records: " + byteRatio);
     }
 
-    private static boolean read(final RecordKeepersFixture some, final long ms) {
+    private static boolean readRecords(final RecordKeepersFixture fixture, final long ms) {
         final boolean[] ready = {false};
         final KeyedShard[] shard = new KeyedShard[1];
         shard[0] = new KeyedShard(
                 SHARD,
                 TOKEN,
-                some.loop,
-                turn -> false,
+                fixture.loop,
+                attemptId -> false,
                 listener -> new RecordReader(
-                        some.votingConfiguration,
-                        some.loop,
-                        some,
-                        new StoreHealth(some.votingConfiguration.quorum(), some.loop, some.journal),
+                        fixture.votingConfiguration,
+                        fixture.loop,
+                        fixture,
+                        new StoreHealth(fixture.votingConfiguration.quorum(), fixture.loop, fixture.journal),
                         SHARD,
                         TOKEN,
                         "w",
@@ -85,245 +89,268 @@
                         listener),
                 () -> {});
         shard[0].whenReady(ms, () -> ready[0] = true, () -> {});
-        some.loop.run(ms);
+        fixture.loop.run(ms);
         return ready[0];
     }
 
-    /** The case of the incident: no answer comes within 700 ms, at first none within a second. */
+    /**
+     * Reproduces an incident in which responses took longer than 700 ms and, at first, longer than the time-out of one
+     * second.
+     */
     @Test
-    void lateAnswersEndAReadingInTheEndAndRequestsDoNotMultiplyIt() {
-        keepers.fill(SHARD, 110, 1500);
-        keepers.bytes.clear();
-        keepers.delay = (id, m) -> m instanceof RecordReadRequest ? 1600L : 1L;
-        final KeyedRequests desk = desk("w");
+    void aReadWithSlowResponsesCompletesAndIsSharedByAllRequests() {
+        replicas.writeRecords(SHARD, 110, 1500);
+        replicas.responseBytes.clear();
+        replicas.responseDelayMs = (id, m) -> m instanceof RecordReadRequest ? 1600L : 1L;
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
         for (int i = 0; i < 160; i++) {
-            take(desk, "new-" + i, 300);
-            keepers.loop.run(50);
+            submit(keyedRequests, "new-" + i, 300);
+            replicas.loop.run(50);
         }
-        assertTrue(answers.contains(RequestOutcome.REFUSED), "those that waited were refused: " + answers);
-        assertTrue(answers.contains(RequestOutcome.DONE), "and later ones are served: " + answers);
-        assertFalse(answers.subList(100, 160).contains(RequestOutcome.REFUSED), answers.toString());
-        assertTrue(keepers.asked.get("RecordReadRequest") <= 12, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("RecordReadResponse") <= 6 * 110 * 300, "bytes " + keepers.bytes);
-        assertEquals(1, shortages(), "told once");
+        assertTrue(outcomes.contains(RequestOutcome.REFUSED), "requests are refused after their wait: " + outcomes);
+        assertTrue(outcomes.contains(RequestOutcome.DONE), "later requests are executed: " + outcomes);
+        assertFalse(outcomes.subList(100, 160).contains(RequestOutcome.REFUSED), outcomes.toString());
+        assertTrue(replicas.requestCounts.get("RecordReadRequest") <= 12, "requests: " + replicas.requestCounts);
+        assertTrue(
+                replicas.responseBytes.get("RecordReadResponse") <= 6 * 110 * 300, "bytes: " + replicas.responseBytes);
+        assertEquals(1, shortageEvents(), "shortage is reported once");
     }
 
-    /** What one keeper has answered counts on while another is late; only its late page is asked again. */
+    /**
+     * Pages received from one replica stay valid while another replica is slow; only a lost page is requested again.
+     */
     @Test
-    void lostPagesAreAskedAgainAlone() {
-        keepers.fill(SHARD, 1000, 10);
-        keepers.bytes.clear();
-        final int[] n = {0};
-        keepers.delay = (id, m) -> ++n[0] % 4 == 0 ? -1L : 35L;
-        assertTrue(read(keepers, 20_000));
-        assertTrue(keepers.bytes.get("RecordReadResponse") <= 3 * 1000 * 290 * 5 / 3, "bytes " + keepers.bytes);
+    void onlyLostPagesAreRequestedAgain() {
+        replicas.writeRecords(SHARD, 1000, 10);
+        replicas.responseBytes.clear();
+        final int[] messageCount = {0};
+        replicas.responseDelayMs = (id, m) -> ++messageCount[0] % 4 == 0 ? -1L : 35L;
+        assertTrue(readRecords(replicas, 20_000));
+        assertTrue(
+                replicas.responseBytes.get("RecordReadResponse") <= 3 * 1000 * 290 * 5 / 3,
+                "bytes: " + replicas.responseBytes);
     }
 
-    /** Half a read must not count: a majority of whole ones is needed. */
+    /** A replica that was read only in part must not count; a majority of completely read replicas is needed. */
     @Test
-    void aReadingThatLacksAPageIsNotReady() {
-        keepers.fill(SHARD, 300, 10);
-        final int[] n = {0};
-        keepers.delay = (id, m) -> m instanceof RecordReadRequest r && r.afterKey() != null && !id.equals(A) ? -1L : 5L;
-        assertFalse(read(keepers, 10_000));
+    void aReadWithAMissingPageIsNotReady() {
+        replicas.writeRecords(SHARD, 300, 10);
+        final int[] messageCount = {0};
+        replicas.responseDelayMs =
+                (id, m) -> m instanceof RecordReadRequest r && r.afterKey() != null && !id.equals(A) ? -1L : 5L;
+        assertFalse(readRecords(replicas, 10_000));
     }
 
     @Test
-    void aKeeperInALapseDoesNotCount() {
-        keepers.fill(SHARD, 10, 10);
-        keepers.delay = (id, m) -> m instanceof RecordChecksumsRequest ? -1L : 1L;
-        keepers.stores.get(A).markIncomplete();
-        keepers.stores.get(B).markIncomplete();
-        final KeyedRequests desk = desk("w");
-        take(desk, "new", 1000);
-        keepers.loop.run(20_000);
-        assertEquals(List.of(RequestOutcome.REFUSED), answers);
-        assertTrue(keepers.asked.get("RecordReadRequest") <= 60, "questions " + keepers.asked);
-        assertTrue(keepers.bytes.get("RecordReadResponse") <= 60 * 300 + 3 * 300 * 10, "bytes " + keepers.bytes);
+    void aReplicaWithIncompleteRecordsDoesNotCount() {
+        replicas.writeRecords(SHARD, 10, 10);
+        replicas.responseDelayMs = (id, m) -> m instanceof RecordChecksumsRequest ? -1L : 1L;
+        replicas.stores.get(A).markIncomplete();
+        replicas.stores.get(B).markIncomplete();
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "new", 1000);
+        replicas.loop.run(20_000);
+        assertEquals(List.of(RequestOutcome.REFUSED), outcomes);
+        assertTrue(replicas.requestCounts.get("RecordReadRequest") <= 60, "requests: " + replicas.requestCounts);
+        assertTrue(
+                replicas.responseBytes.get("RecordReadResponse") <= 60 * 300 + 3 * 300 * 10,
+                "bytes: " + replicas.responseBytes);
     }
 
-    /** A repeat at a later holder gets the body that the earlier one's keepers have. */
+    /** A repeated key at a later holder gets the body that the replicas stored for the earlier holder. */
     @Test
-    void anOutcomeIsFetchedWhenARepeatComes() {
-        keepers.fill(SHARD, 3, 900);
-        final KeyedRequests desk = desk("w");
-        keepers.delay = (id, m) -> m instanceof OutcomeRequest && id.equals(A) ? -1L : 20L;
-        take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
-        take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
-        keepers.loop.run(2500);
-        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
-        assertEquals(900, filled.get(0).body().length);
-        assertEquals(201, filled.get(0).status());
-        assertTrue(keepers.asked.get("OutcomeRequest") <= 2, "fetched once for both " + keepers.asked);
-        take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
-        keepers.loop.run(100);
-        assertEquals(3, answers.size(), "then it is here");
-        assertEquals(0, sent);
+    void aRepeatedKeyFetchesTheOutcomeFromAReplica() {
+        replicas.writeRecords(SHARD, 3, 900);
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        replicas.responseDelayMs = (id, m) -> m instanceof OutcomeRequest && id.equals(A) ? -1L : 20L;
+        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        replicas.loop.run(2500);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), outcomes);
+        assertEquals(900, responses.get(0).body().length);
+        assertEquals(201, responses.get(0).status());
+        assertTrue(
+                replicas.requestCounts.get("OutcomeRequest") <= 2,
+                "fetched once for both requests: " + replicas.requestCounts);
+        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        replicas.loop.run(100);
+        assertEquals(3, outcomes.size(), "the fetched outcome is kept");
+        assertEquals(0, sentCount);
     }
 
     @Test
-    void anOutcomeThatCannotBeFetchedIsUnknownAndNeverRuns() {
-        keepers.fill(SHARD, 3, 900);
-        keepers.delay = (id, m) -> m instanceof OutcomeRequest ? -1L : 1L;
-        final KeyedRequests desk = desk("w");
-        take(desk, RecordKeepersFixture.key(SHARD, 1), 1000);
-        keepers.loop.run(6000);
-        assertEquals(List.of(RequestOutcome.UNKNOWN), answers);
-        assertEquals(0, sent);
+    void aKeyWhoseOutcomeCannotBeFetchedIsUnknownAndNotExecuted() {
+        replicas.writeRecords(SHARD, 3, 900);
+        replicas.responseDelayMs = (id, m) -> m instanceof OutcomeRequest ? -1L : 1L;
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        replicas.loop.run(6000);
+        assertEquals(List.of(RequestOutcome.UNKNOWN), outcomes);
+        assertEquals(0, sentCount);
     }
 
-    /** One whose era ended is read again alone, and the write stands at the others meanwhile. */
+    /** Only the replica whose era ended is read again; meanwhile the write succeeds at the other replicas. */
     @Test
-    void aKeeperWhoseEraEndedIsReadAgainAlone() {
-        keepers.fill(SHARD, 110, 10);
-        final KeyedRequests desk = desk("w");
-        take(desk, "k1", 1000);
-        keepers.loop.run(200);
-        final int before = keepers.asked.get("RecordReadRequest");
-        keepers.stores.get(A).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
-        take(desk, "k2", 1000);
-        keepers.loop.run(200);
-        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
-        assertEquals(before + 2, keepers.asked.get("RecordReadRequest"), "both pages of that one");
-        keepers.stores.get(B).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
-        keepers.stores.get(C).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
-        take(desk, "k3", 1000);
-        keepers.loop.run(500);
+    void onlyAReplicaWhoseEraEndedIsReadAgain() {
+        replicas.writeRecords(SHARD, 110, 10);
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(200);
+        final int before = replicas.requestCounts.get("RecordReadRequest");
+        replicas.stores.get(A).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
+        submit(keyedRequests, "k2", 1000);
+        replicas.loop.run(200);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), outcomes);
+        assertEquals(before + 2, replicas.requestCounts.get("RecordReadRequest"), "both pages of the one replica");
+        replicas.stores.get(B).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
+        replicas.stores.get(C).onChecksumsRequest(new RecordChecksumsRequest(0, "x/1", true), m -> {});
+        submit(keyedRequests, "k3", 1000);
+        replicas.loop.run(500);
         assertEquals(
-                3, answers.stream().filter(RequestOutcome.DONE::equals).count(), "written again once they are read");
-        assertEquals(3, sent);
+                3,
+                outcomes.stream().filter(RequestOutcome.DONE::equals).count(),
+                "written again once the replicas are read");
+        assertEquals(3, sentCount);
     }
 
-    /** Another process with the same token read and wrote meanwhile: its intent is found and nothing is sent. */
+    /**
+     * If another process with the same token has read and written meanwhile, its intent is found and nothing is sent.
+     */
     @Test
-    void anIntentOfATwinProcessIsNotWrittenOver() {
-        final KeyedRequests first = desk("first");
-        take(first, "k1", 1000);
-        keepers.loop.run(100);
-        final KeyedRequests second = desk("second");
-        take(second, "k2", 1000);
-        take(second, "shared", 1000);
-        keepers.loop.run(100);
-        assertEquals(3, sent);
-        take(first, "shared", 1000);
-        keepers.loop.run(2000);
-        assertEquals(3, sent, "the key ran once");
-        assertEquals(RequestOutcome.UNKNOWN, answers.get(3));
+    void anIntentOfAnotherProcessWithTheSameTokenIsNotOverwritten() {
+        final KeyedRequests firstProcess = newKeyedRequests("first");
+        submit(firstProcess, "k1", 1000);
+        replicas.loop.run(100);
+        final KeyedRequests secondProcess = newKeyedRequests("second");
+        submit(secondProcess, "k2", 1000);
+        submit(secondProcess, "shared", 1000);
+        replicas.loop.run(100);
+        assertEquals(3, sentCount);
+        submit(firstProcess, "shared", 1000);
+        replicas.loop.run(2000);
+        assertEquals(3, sentCount, "the key ran once");
+        assertEquals(RequestOutcome.UNKNOWN, outcomes.get(3));
     }
 
-    private void nextEpoch() {
-        final List<String> all = RecordKeepersFixture.ALL.stream()
+    private void adoptNextEpoch() {
+        final List<String> voters = RecordKeepersFixture.ALL.stream()
                 .map(id -> new VoterAddress(id, "127.0.0.1", 1).toString())
                 .toList();
-        final String body = Json.write(new VotingSet(all, all));
-        keepers.stores.values().forEach(org.rowanvalve.control.record.KeyedRecordStore::onJoined);
-        keepers.votingConfiguration.adopt(new ChosenItem(
+        final String body = Json.write(new VotingSet(voters, voters));
+        replicas.stores.values().forEach(org.rowanvalve.control.record.KeyedRecordStore::onJoined);
+        replicas.votingConfiguration.adopt(new ChosenItem(
                 new Ballot(9, "x"),
-                new Item(ItemId.VOTERS, new Version(keepers.votingConfiguration.epoch() + 1), body, false, "")));
+                new Item(ItemId.VOTERS, new Version(replicas.votingConfiguration.epoch() + 1), body, false, "")));
     }
 
-    /** After a change of epoch nothing counts that was read before it; the reading is light and one. */
+    /**
+     * After a change of epoch, nothing read in the earlier epoch counts; the holder reads once more, without bodies.
+     */
     @Test
-    void aChangeOfEpochMakesAHolderReadAgain() {
-        keepers.fill(SHARD, 110, 1500);
-        final KeyedRequests desk = desk("w");
-        take(desk, "k1", 1000);
-        keepers.loop.run(100);
-        keepers.asked.clear();
-        keepers.bytes.clear();
-        keepers.stores
+    void aChangeOfEpochMakesTheHolderReadAgain() {
+        replicas.writeRecords(SHARD, 110, 1500);
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(100);
+        replicas.requestCounts.clear();
+        replicas.responseBytes.clear();
+        replicas.stores
                 .values()
-                .forEach(k ->
-                        k.onWrite(new RecordWriteRequest(0, RecordKeepersFixture.note(SHARD, 500, -1), 1), m -> {}));
-        nextEpoch();
-        take(desk, "k2", 1000);
-        keepers.loop.run(200);
-        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), answers);
-        assertEquals(6, keepers.asked.get("RecordReadRequest"), "two pages of each");
-        assertTrue(keepers.bytes.get("RecordReadResponse") < 3 * 111 * 300, "bytes " + keepers.bytes);
+                .forEach(replica -> replica.onWrite(
+                        new RecordWriteRequest(0, RecordKeepersFixture.keyedRecord(SHARD, 500, -1), 1), m -> {}));
+        adoptNextEpoch();
+        submit(keyedRequests, "k2", 1000);
+        replicas.loop.run(200);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), outcomes);
+        assertEquals(6, replicas.requestCounts.get("RecordReadRequest"), "two pages of each replica");
+        assertTrue(
+                replicas.responseBytes.get("RecordReadResponse") < 3 * 111 * 300, "bytes: " + replicas.responseBytes);
     }
 
-    /** A write on its way when the epoch changes is written again in the new one; one acknowledgement of each is none. */
+    /**
+     * A write in flight when the epoch changes is repeated in the new epoch. One acknowledgement in each of the two
+     * epochs is not a majority.
+     */
     @Test
-    void aWriteCountsWithinOneEpochOnly() {
-        final KeyedRequests desk = desk("w");
-        take(desk, "k1", 1000);
-        keepers.loop.run(100);
-        assertEquals(1, sent);
-        keepers.delay = (id, m) -> m instanceof RecordWriteRequest ? id.equals(A) ? 1L : 400L : 1L;
-        take(desk, "k2", 1000);
-        keepers.loop.run(50);
-        nextEpoch();
-        keepers.delay = (id, m) -> m instanceof RecordWriteRequest ? id.equals(A) ? 1L : -1L : 1L;
-        keepers.loop.run(3000);
-        assertEquals(1, sent, "one in the epoch before and one in this are no majority");
-        assertEquals(RequestOutcome.REFUSED, answers.get(1));
-        keepers.delay = (id, m) -> 1L;
-        take(desk, "k3", 1000);
-        keepers.loop.run(3000);
-        assertEquals(2, sent);
+    void acknowledgementsOfDifferentEpochsAreNotCombined() {
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(100);
+        assertEquals(1, sentCount);
+        replicas.responseDelayMs = (id, m) -> m instanceof RecordWriteRequest ? id.equals(A) ? 1L : 400L : 1L;
+        submit(keyedRequests, "k2", 1000);
+        replicas.loop.run(50);
+        adoptNextEpoch();
+        replicas.responseDelayMs = (id, m) -> m instanceof RecordWriteRequest ? id.equals(A) ? 1L : -1L : 1L;
+        replicas.loop.run(3000);
+        assertEquals(1, sentCount, "acknowledgements in two epochs are not a majority");
+        assertEquals(RequestOutcome.REFUSED, outcomes.get(1));
+        replicas.responseDelayMs = (id, m) -> 1L;
+        submit(keyedRequests, "k3", 1000);
+        replicas.loop.run(3000);
+        assertEquals(2, sentCount);
     }
 
-    /** Voters that have gone over to a later epoch answer nothing in this one. */
+    /** Rejections by replicas that have adopted a later epoch do not count as responses in the current epoch. */
     @Test
-    void refusalsOfALaterEpochAreNoAnswers() {
-        final KeyedRequests desk = desk("w");
-        keepers.ahead.addAll(List.of(A, B));
-        take(desk, "k1", 1000);
-        keepers.loop.run(5000);
-        assertEquals(List.of(RequestOutcome.REFUSED), answers);
-        assertEquals(0, sent);
-        assertTrue(keepers.asked.get("RecordReadRequest") < 30, "questions " + keepers.asked);
+    void rejectionsByALaterEpochDoNotCountAsResponses() {
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        replicas.withLaterEpoch.addAll(List.of(A, B));
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(5000);
+        assertEquals(List.of(RequestOutcome.REFUSED), outcomes);
+        assertEquals(0, sentCount);
+        assertTrue(replicas.requestCounts.get("RecordReadRequest") < 30, "requests: " + replicas.requestCounts);
     }
 
     @Test
     void aKeyWhoseClientLeftWhileTheRecordsWereReadIsNotExecuted() {
-        final KeyedRequests desk = desk("w");
-        final Cancellation left = new Cancellation();
-        take(desk, "k1", 1000, left);
-        left.request(CancelCause.CLIENT_LEFT);
-        keepers.loop.run(500);
-        assertEquals(0, sent);
-        assertEquals(List.of(RequestOutcome.REFUSED), answers);
-        take(desk, "k1", 1000);
-        keepers.loop.run(500);
-        assertEquals(1, sent);
-        assertEquals(RequestOutcome.DONE, answers.get(1));
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        final Cancellation cancelled = new Cancellation();
+        submit(keyedRequests, "k1", 1000, cancelled);
+        cancelled.request(CancelCause.CLIENT_LEFT);
+        replicas.loop.run(500);
+        assertEquals(0, sentCount);
+        assertEquals(List.of(RequestOutcome.REFUSED), outcomes);
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(500);
+        assertEquals(1, sentCount);
+        assertEquals(RequestOutcome.DONE, outcomes.get(1));
     }
 
     @Test
-    void aKeyWhoseIntentIsBeingWrittenRunsToItsOutcomeThoughItsClientHasLeft() {
-        final KeyedRequests desk = desk("w");
-        take(desk, "k0", 1000);
-        keepers.loop.run(500);
-        final Cancellation left = new Cancellation();
-        take(desk, "k1", 1000, left);
-        left.request(CancelCause.CLIENT_LEFT);
-        keepers.loop.run(500);
-        assertEquals(2, sent);
-        take(desk, "k1", 1000);
-        keepers.loop.run(500);
-        assertEquals(2, sent, "a repeat gets the first outcome");
-        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE, RequestOutcome.DONE), answers);
+    void aKeyWhoseIntentIsBeingWrittenIsExecutedAlthoughItsClientLeft() {
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "k0", 1000);
+        replicas.loop.run(500);
+        final Cancellation cancelled = new Cancellation();
+        submit(keyedRequests, "k1", 1000, cancelled);
+        cancelled.request(CancelCause.CLIENT_LEFT);
+        replicas.loop.run(500);
+        assertEquals(2, sentCount);
+        submit(keyedRequests, "k1", 1000);
+        replicas.loop.run(500);
+        assertEquals(2, sentCount, "a repeated key gets the first outcome");
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE, RequestOutcome.DONE), outcomes);
     }
 
     @Test
-    void aKeyIsNotExecutedWhileItsCallerHasNotSaidThatItStillWaits() {
-        final KeyedRequests desk = desk("w");
-        take(desk, "k0", 1000);
-        keepers.loop.run(500);
-        final Cancellation stays = new Cancellation();
-        final Cancellation left = new Cancellation();
-        stays.suspend();
-        left.suspend();
-        take(desk, "k1", 1000, stays);
-        take(desk, "k2", 1000, left);
-        keepers.loop.run(500);
-        assertEquals(1, sent);
-        stays.confirm();
-        left.request(CancelCause.CLIENT_LEFT);
-        keepers.loop.run(500);
-        assertEquals(2, sent);
-        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.REFUSED, RequestOutcome.DONE), answers);
+    void aKeyIsNotExecutedWhileItsRequestIsUnconfirmed() {
+        final KeyedRequests keyedRequests = newKeyedRequests("w");
+        submit(keyedRequests, "k0", 1000);
+        replicas.loop.run(500);
+        final Cancellation confirmed = new Cancellation();
+        final Cancellation cancelled = new Cancellation();
+        confirmed.suspend();
+        cancelled.suspend();
+        submit(keyedRequests, "k1", 1000, confirmed);
+        submit(keyedRequests, "k2", 1000, cancelled);
+        replicas.loop.run(500);
+        assertEquals(1, sentCount);
+        confirmed.confirm();
+        cancelled.request(CancelCause.CLIENT_LEFT);
+        replicas.loop.run(500);
+        assertEquals(2, sentCount);
+        assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.REFUSED, RequestOutcome.DONE), outcomes);
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/keyed/RecordKeepersFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/RecordKeepersFixture.java
@@ -33,7 +33,10 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.VirtualTimeLoop;
 
-/** Real record stores behind a net on virtual time that counts messages and bytes, and can be late or lose them. */
+/**
+ * Real record replicas behind a simulated transport on virtual time, which counts messages and bytes and can delay or
+ * lose responses.
+ */
 final class RecordKeepersFixture implements Transport {
     static final List<NodeId> ALL = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"));
     static final RecordRetention RETENTION = new RecordRetention(60_000, () -> 0);
@@ -41,23 +44,24 @@
     final EventJournal journal = new EventJournal(loop, 500);
     final VotingConfiguration votingConfiguration = VotingConfiguration.of(new Quorum(ALL, Set.of()));
     final Map<NodeId, KeyedRecordStore> stores = new TreeMap<>();
-    /** Questions by kind, and bytes of answers by kind. */
-    final Map<String, Integer> asked = new TreeMap<>();
+    /** The number of requests sent, by message type. */
+    final Map<String, Integer> requestCounts = new TreeMap<>();
 
-    final Map<String, Long> bytes = new TreeMap<>();
-    /** How long an answer takes; below zero it is lost. */
-    BiFunction<NodeId, Message, Long> delay = (id, m) -> 1L;
-    /** Who goes by another epoch than the asker. */
-    final Set<NodeId> ahead = new HashSet<>();
+    /** The encoded bytes of the responses, by message type. */
+    final Map<String, Long> responseBytes = new TreeMap<>();
+    /** The delay of each response in ms; if negative, the response is lost. */
+    BiFunction<NodeId, Message, Long> responseDelayMs = (id, m) -> 1L;
+    /** The replicas that have adopted a later epoch than the requester. */
+    final Set<NodeId> withLaterEpoch = new HashSet<>();
 
-    private long boots;
+    private long starts;
 
     RecordKeepersFixture() {
-        ALL.forEach(id -> begin(id, new HashMap<>()));
+        ALL.forEach(id -> startReplica(id, new HashMap<>()));
     }
 
-    /** A keeper's process, on the rows of its disk. */
-    KeyedRecordStore begin(final NodeId id, final Map<String, byte[]> rows) {
+    /** Starts the process of a replica on the rows that its disk contains. */
+    KeyedRecordStore startReplica(final NodeId id, final Map<String, byte[]> rows) {
         final StableStorage storage = new StableStorage() {
             @Override
             public Map<String, byte[]> load() {
@@ -65,14 +69,14 @@
             }
 
             @Override
-            public void save(final Map<String, byte[]> some, final Consumer<Boolean> done) {
-                some.forEach((k, v) -> rows.compute(k, (x, old) -> v));
+            public void save(final Map<String, byte[]> changedRows, final Consumer<Boolean> done) {
+                changedRows.forEach((row, v) -> rows.compute(row, (key, previous) -> v));
                 done.accept(true);
             }
         };
-        final KeyedRecordStore k = new KeyedRecordStore(
+        final KeyedRecordStore replica = new KeyedRecordStore(
                 id,
-                "b" + ++boots,
+                "b" + ++starts,
                 votingConfiguration,
                 this,
                 loop,
@@ -81,28 +85,29 @@
                 journal,
                 RETENTION);
         try {
-            k.start();
+            replica.start();
         } catch (final org.rowanvalve.common.runtime.StorageException e) {
             throw new IllegalStateException(e);
         }
-        stores.put(id, k);
-        return k;
+        stores.put(id, replica);
+        return replica;
     }
 
-    /** Records of a shard written by another process under a lower token. */
-    void fill(final int shard, final int records, final int body) {
-        for (final KeyedRecordStore k : stores.values()) {
-            final List<Message> got = new ArrayList<>();
-            k.onRead(new RecordReadRequest(0, shard, new FencingToken(1, 0), "before", true, null, 0), got::add);
-            final long era = ((RecordReadResponse) got.get(0)).era();
+    /** Writes records of a shard to all replicas, as another process under a lower token. */
+    void writeRecords(final int shard, final int records, final int bodyBytes) {
+        for (final KeyedRecordStore replica : stores.values()) {
+            final List<Message> responses = new ArrayList<>();
+            replica.onRead(
+                    new RecordReadRequest(0, shard, new FencingToken(1, 0), "before", true, null, 0), responses::add);
+            final long era = ((RecordReadResponse) responses.get(0)).era();
             for (int i = 0; i < records; i++) {
-                k.onWrite(new RecordWriteRequest(0, note(shard, i, body), era), m -> {});
+                replica.onWrite(new RecordWriteRequest(0, keyedRecord(shard, i, bodyBytes), era), m -> {});
             }
         }
     }
 
-    static KeyedRecord note(final int shard, final int i, final int body) {
-        final KeyedOutcome outcome = body < 0 ? null : new KeyedOutcome(201, Map.of(), new byte[body], true);
+    static KeyedRecord keyedRecord(final int shard, final int i, final int bodyBytes) {
+        final KeyedOutcome outcome = bodyBytes < 0 ? null : new KeyedOutcome(201, Map.of(), new byte[bodyBytes], true);
         return new KeyedRecord(key(shard, i), shard, new FencingToken(1, 0), "d".repeat(64), 7, false, outcome);
     }
 
@@ -111,49 +116,50 @@
     }
 
     @Override
-    public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
-        asked.merge(msg.getClass().getSimpleName(), 1, Integer::sum);
-        final boolean[] over = {false};
-        loop.schedule(wait, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                then.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
+    public void request(
+            final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
+        requestCounts.merge(message.getClass().getSimpleName(), 1, Integer::sum);
+        final boolean[] completed = {false};
+        loop.schedule(timeoutMs, () -> {
+            if (!completed[0]) {
+                completed[0] = true;
+                callback.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
             }
         });
-        answer(recipient, msg, m -> {
-            bytes.merge(
+        handle(recipient, message, m -> {
+            responseBytes.merge(
                     m.getClass().getSimpleName(),
                     (long) MessageCodec.encode(new MessageCodec.Frame(1, 1, 0, recipient, m)).length,
                     Long::sum);
-            final long ms = delay.apply(recipient, msg);
+            final long ms = responseDelayMs.apply(recipient, message);
             if (ms >= 0) {
                 loop.schedule(ms, () -> {
-                    if (!over[0]) {
-                        over[0] = true;
-                        then.accept(Reply.of(m));
+                    if (!completed[0]) {
+                        completed[0] = true;
+                        callback.accept(Reply.of(m));
                     }
                 });
             }
         });
     }
 
-    private void answer(final NodeId recipient, final Message msg, final Consumer<Message> back) {
-        final KeyedRecordStore k = stores.get(recipient);
-        if (k == null) {
+    private void handle(final NodeId recipient, final Message message, final Consumer<Message> callback) {
+        final KeyedRecordStore replica = stores.get(recipient);
+        if (replica == null) {
             return;
         }
-        if (ahead.contains(recipient) && !(msg instanceof OutcomeRequest)) {
-            back.accept(new EpochMismatchResponse(votingConfiguration.epoch() + 1, null));
-        } else if (msg instanceof RecordReadRequest m) {
-            k.onRead(m, back);
-        } else if (msg instanceof RecordWriteRequest m) {
-            k.onWrite(m, back);
-        } else if (msg instanceof OutcomeRequest m) {
-            k.onOutcomeRequest(m, back);
-        } else if (msg instanceof RecordChecksumsRequest m) {
-            k.onChecksumsRequest(m, back);
-        } else if (msg instanceof RecordPageRequest m) {
-            k.onPageRequest(m, back);
+        if (withLaterEpoch.contains(recipient) && !(message instanceof OutcomeRequest)) {
+            callback.accept(new EpochMismatchResponse(votingConfiguration.epoch() + 1, null));
+        } else if (message instanceof RecordReadRequest m) {
+            replica.onRead(m, callback);
+        } else if (message instanceof RecordWriteRequest m) {
+            replica.onWrite(m, callback);
+        } else if (message instanceof OutcomeRequest m) {
+            replica.onOutcomeRequest(m, callback);
+        } else if (message instanceof RecordChecksumsRequest m) {
+            replica.onChecksumsRequest(m, callback);
+        } else if (message instanceof RecordPageRequest m) {
+            replica.onPageRequest(m, callback);
         }
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/limit/RetryBudgetTest.java
+++ b/data/src/test/java/org/rowanvalve/data/limit/RetryBudgetTest.java
@@ -12,54 +12,58 @@
 class RetryBudgetTest {
 
     @Test
-    void theStatedRatioAndSlackBoundEachSender() {
-        final RetryBudget none = new RetryBudget(0, 0);
-        none.recordFirst("s", 0);
-        assertFalse(none.trySpend("s", 0, 1));
-        final RetryBudget a = new RetryBudget(0.5, 50);
-        a.recordFirst("s", 0);
-        a.recordFirst("s", 0);
-        assertFalse(a.trySpend("s", 0, 1), "0.45 each come to less than one");
-        a.recordFirst("s", 0);
-        assertFalse(a.trySpend("t", 0, 1), "another service earned nothing");
-        assertTrue(a.trySpend("s", 0, 1));
+    void ratioAndSlackBoundTheRetriesOfEachSender() {
+        final RetryBudget empty = new RetryBudget(0, 0);
+        empty.recordFirst("s", 0);
+        assertFalse(empty.trySpend("s", 0, 1));
+        final RetryBudget budget = new RetryBudget(0.5, 50);
+        budget.recordFirst("s", 0);
+        budget.recordFirst("s", 0);
+        assertFalse(budget.trySpend("s", 0, 1), "two requests earn 0.45 retries each, together less than one");
+        budget.recordFirst("s", 0);
+        assertFalse(budget.trySpend("t", 0, 1), "another service has earned no retry");
+        assertTrue(budget.trySpend("s", 0, 1));
         for (int i = 0; i < 100; i++) {
-            a.recordFirst("s", 1);
+            budget.recordFirst("s", 1);
         }
-        int n = 0;
-        while (a.trySpend("s", 1, 10)) {
-            n++;
+        int spent = 0;
+        while (budget.trySpend("s", 1, 10)) {
+            spent++;
         }
-        assertEquals(2, n, "what can be saved is a tenth of 0.4 times the slack");
+        assertEquals(2, spent, "one of ten senders can save a tenth of 0.4 times the slack");
     }
 
-    /** Four senders whose requests stop and start at odd times, every window of 10 s. */
+    /** Checks every window of 10 s with four senders whose requests stop and start at different times. */
     @Test
-    void noWindowOfTenSecondsHoldsMoreThanAFifthPlusSixty() {
+    void retriesInAnyTenSecondsAreAtMostAFifthOfTheRequestsPlusSixty() {
         for (int seed = 0; seed < 20; seed++) {
             final Random random = new Random(seed);
-            final RetryBudget[] all = {new RetryBudget(), new RetryBudget(), new RetryBudget(), new RetryBudget()};
-            final List<Long> first = new ArrayList<>();
-            final List<Long> extra = new ArrayList<>();
-            for (long t = 0; t < 60_000; t += 5) {
-                final boolean busy = (t / 3000 + seed) % 3 != 0;
-                for (final RetryBudget a : all) {
+            final RetryBudget[] budgets = {new RetryBudget(), new RetryBudget(), new RetryBudget(), new RetryBudget()};
+            final List<Long> firstAttempts = new ArrayList<>();
+            final List<Long> retries = new ArrayList<>();
+            for (long time = 0; time < 60_000; time += 5) {
+                final boolean busy = (time / 3000 + seed) % 3 != 0;
+                for (final RetryBudget budget : budgets) {
                     if (busy && random.nextInt(4) == 0) {
-                        a.recordFirst("s", t);
-                        first.add(t);
+                        budget.recordFirst("s", time);
+                        firstAttempts.add(time);
                     }
-                    if (a.trySpend("s", t, 4)) {
-                        extra.add(t);
+                    if (budget.trySpend("s", time, 4)) {
+                        retries.add(time);
                     }
                 }
             }
-            assertTrue(extra.size() > 300, "tries were allowed at all");
-            for (final long end : extra) {
-                final long tries =
-                        extra.stream().filter(t -> t > end - 10_000 && t <= end).count();
-                final long asked =
-                        first.stream().filter(t -> t > end - 10_000 && t <= end).count();
-                assertTrue(tries <= 0.2 * asked + 60, tries + " extra tries beside " + asked + ", seed " + seed);
+            assertTrue(retries.size() > 300, "retries were allowed");
+            for (final long end : retries) {
+                final long retryCount = retries.stream()
+                        .filter(time -> time > end - 10_000 && time <= end)
+                        .count();
+                final long requestCount = firstAttempts.stream()
+                        .filter(time -> time > end - 10_000 && time <= end)
+                        .count();
+                assertTrue(
+                        retryCount <= 0.2 * requestCount + 60,
+                        retryCount + " retries for " + requestCount + " requests, seed " + seed);
             }
         }
     }
--- a/data/src/test/java/org/rowanvalve/data/shield/ForwardConfirmationTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ForwardConfirmationTest.java
@@ -16,27 +16,27 @@
 import org.rowanvalve.data.cancel.Cancellation;
 import org.rowanvalve.data.cancel.PauseMonitor;
 
-/** Guards against requests that are sent after a pause, before what took them back has been read. */
+/** Guards against requests that are sent after a pause although a cancel that arrived meanwhile is still unread. */
 class ForwardConfirmationTest {
     private static final NodeId EDGE = NodeId.of("edge");
     private static final long PAUSE_MS = 1300;
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
-    private final List<Asked> asked = new ArrayList<>();
+    private final List<Query> queries = new ArrayList<>();
     private final PauseMonitor pauses = new PauseMonitor(loop);
     private final OpenForwards openForwards = new OpenForwards();
     private final ForwardConfirmation confirmation = new ForwardConfirmation(
             loop,
-            (to, message, waitMs, then) -> asked.add(new Asked(to, (OpenForwardsRequest) message, then)),
+            (to, message, waitMs, callback) -> queries.add(new Query(to, (OpenForwardsRequest) message, callback)),
             pauses,
             openForwards);
 
-    private record Asked(NodeId to, OpenForwardsRequest request, Consumer<Reply> then) {
-        void answer(final Long... open) {
-            then.accept(Reply.of(new OpenForwardsResponse(List.of(open))));
+    private record Query(NodeId to, OpenForwardsRequest request, Consumer<Reply> callback) {
+        void respond(final Long... open) {
+            callback.accept(Reply.of(new OpenForwardsResponse(List.of(open))));
         }
 
         void fail() {
-            then.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
+            callback.accept(Reply.failed(Reply.Failure.NO_RESPONSE));
         }
 
         List<Long> serials() {
@@ -56,45 +56,45 @@
         return open(EDGE, "boot-1", serial);
     }
 
-    private static void assertStanding(final Cancellation.Standing expected, final Cancellation... all) {
-        for (final Cancellation one : all) {
-            assertEquals(expected, one.poll());
+    private static void assertStanding(final Cancellation.Standing expected, final Cancellation... cancellations) {
+        for (final Cancellation cancellation : cancellations) {
+            assertEquals(expected, cancellation.poll());
         }
     }
 
     @Test
-    void withoutAPauseNobodyIsAsked() {
+    void noEdgeIsAskedWithoutAPause() {
         final Cancellation request = open(1);
         loop.run(5000);
         assertStanding(Cancellation.Standing.WANTED, request);
         loop.pause(200);
         assertStanding(Cancellation.Standing.WANTED, request);
         loop.run(5000);
-        assertEquals(0, asked.size());
+        assertEquals(0, queries.size());
     }
 
-    /** Nothing else need have run since: the check right before the send sees the pause. */
+    /** The poll right before a send detects the pause even if no other job has run since. */
     @Test
-    void afterAPauseNoneIsWantedUntilItsEdgeHasSaidSo() {
-        final Cancellation stays = open(1);
-        final Cancellation left = open(2);
-        final Cancellation other = open(NodeId.of("edge-2"), "boot-7", 1);
+    void afterAPauseRequestsAreUnconfirmedUntilTheirEdgeResponds() {
+        final Cancellation confirmed = open(1);
+        final Cancellation cancelled = open(2);
+        final Cancellation ofOtherEdge = open(NodeId.of("edge-2"), "boot-7", 1);
         loop.run(400);
         loop.pause(PAUSE_MS);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, stays, left, other);
+        assertStanding(Cancellation.Standing.UNCONFIRMED, confirmed, cancelled, ofOtherEdge);
         loop.run(1);
-        assertEquals(2, asked.size(), "one question for each edge");
-        final Asked first = asked.get(0).to().equals(EDGE) ? asked.get(0) : asked.get(1);
-        assertEquals(List.of(1L, 2L), first.serials());
-        assertEquals("boot-1", first.request().incarnation());
-        first.answer(1L);
-        assertStanding(Cancellation.Standing.WANTED, stays);
-        assertStanding(Cancellation.Standing.CANCELLED, left);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, other);
+        assertEquals(2, queries.size(), "one query for each edge");
+        final Query query = queries.get(0).to().equals(EDGE) ? queries.get(0) : queries.get(1);
+        assertEquals(List.of(1L, 2L), query.serials());
+        assertEquals("boot-1", query.request().incarnation());
+        query.respond(1L);
+        assertStanding(Cancellation.Standing.WANTED, confirmed);
+        assertStanding(Cancellation.Standing.CANCELLED, cancelled);
+        assertStanding(Cancellation.Standing.UNCONFIRMED, ofOtherEdge);
     }
 
     @Test
-    void whatIsReadSoonAfterAPauseMayBeOldToo() {
+    void requestsReadSoonAfterAPauseAreUnconfirmed() {
         loop.run(400);
         loop.pause(PAUSE_MS);
         loop.run(300);
@@ -102,43 +102,43 @@
                 IntStream.rangeClosed(1, 20).mapToObj(this::open).toList();
         read.forEach(request -> assertStanding(Cancellation.Standing.UNCONFIRMED, request));
         loop.run(1);
-        assertEquals(1, asked.size(), "one question for all that was read at a time");
+        assertEquals(1, queries.size(), "one query for all requests read at a time");
         loop.run(PauseMonitor.CATCH_UP_MS);
         assertStanding(Cancellation.Standing.WANTED, open(21));
     }
 
     @Test
-    void anEdgeThatDoesNotAnswerIsAskedAgainAndThenCountsAsGone() {
+    void anEdgeThatDoesNotRespondIsAskedAgainAndThenCountsAsDisconnected() {
         final Cancellation request = open(1);
         final Cancellation answered = open(2);
         loop.run(400);
         loop.pause(PAUSE_MS);
         loop.run(1);
         openForwards.close(new OpenForwards.Id(EDGE, "boot-1", 2));
-        asked.get(0).fail();
+        queries.get(0).fail();
         loop.run(150);
-        assertEquals(List.of(1L), asked.get(1).serials(), "what was answered meanwhile is of no interest");
+        assertEquals(List.of(1L), queries.get(1).serials(), "answered requests are left out");
         assertStanding(Cancellation.Standing.UNCONFIRMED, request);
-        for (int i = 1; i < asked.size() && i < 100; i++) {
-            asked.get(i).fail();
+        for (int i = 1; i < queries.size() && i < 100; i++) {
+            queries.get(i).fail();
             loop.run(150);
         }
         assertEquals(CancelCause.EDGE_DISCONNECTED, request.cause());
         assertStanding(Cancellation.Standing.UNCONFIRMED, answered);
     }
 
-    /** Its request may have been taken back between the answer and the end of the second pause. */
+    /** The request may have been cancelled between the response and the end of the second pause. */
     @Test
-    void anAnswerFromBeforeASecondPauseDoesNotCount() {
+    void aResponseFromBeforeASecondPauseIsIgnored() {
         final Cancellation request = open(1);
         loop.run(400);
         loop.pause(PAUSE_MS);
         loop.run(1);
         loop.pause(PAUSE_MS);
-        asked.get(0).answer(1L);
+        queries.get(0).respond(1L);
         assertStanding(Cancellation.Standing.UNCONFIRMED, request);
         loop.run(1);
-        asked.get(1).answer(1L);
+        queries.get(1).respond(1L);
         assertStanding(Cancellation.Standing.WANTED, request);
     }
 
@@ -149,7 +149,7 @@
         loop.pause(PAUSE_MS);
         assertStanding(Cancellation.Standing.WANTED, request);
         loop.run(1);
-        assertEquals(0, asked.size());
+        assertEquals(0, queries.size());
     }
 
     private static Fill.Waiter waiter(final Cancellation cancellation) {
@@ -157,11 +157,11 @@
     }
 
     @Test
-    void aFillIsWantedOnceOneWhoJoinedItIsKnownToWait() {
-        final Cancellation first = open(1);
+    void aFillIsConfirmedOnceOneOfItsRequestsIsConfirmed() {
+        final Cancellation query = open(1);
         final Cancellation second = open(2);
         final Fill fill = new Fill("/x", null);
-        fill.join(waiter(first));
+        fill.join(waiter(query));
         fill.join(waiter(second));
         loop.run(400);
         loop.pause(PAUSE_MS);
@@ -169,9 +169,9 @@
         final List<String> settled = new ArrayList<>();
         fill.cancellation().onSettled(() -> settled.add("settled"));
         loop.run(1);
-        first.request(CancelCause.CLIENT_LEFT);
-        assertEquals(List.of(), settled, "the second may wait");
-        asked.get(0).answer(2L);
+        query.request(CancelCause.CLIENT_LEFT);
+        assertEquals(List.of(), settled, "the second request may still wait");
+        queries.get(0).respond(2L);
         assertEquals(List.of("settled"), settled);
         assertStanding(Cancellation.Standing.WANTED, fill.cancellation());
         second.request(CancelCause.CLIENT_LEFT);
--- a/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
@@ -50,7 +50,7 @@
 import org.rowanvalve.data.routing.ShardRouting;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** A shield that cannot do what an edge asks: how long it takes to say so, and what it says of the attempts. */
+/** Tests how a shield cancels, delays and refuses requests of edges, and the unused attempts that it reports. */
 class ShieldTest {
     private static final NodeId EDGE = NodeId.of("edge");
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
@@ -73,7 +73,7 @@
             connectionClosed = listener;
         }
     };
-    private final List<ForwardResponse> answers = new ArrayList<>();
+    private final List<ForwardResponse> responses = new ArrayList<>();
     private final NodeSettings settings = NodeSettings.builderFor(
                     new Member(NodeId.of("n1"), Role.SHIELD, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1"))
             .build();
@@ -94,26 +94,26 @@
     private final Shield shield = new Shield(
             loop, transport, configuration, leases, dispatcher, null, () -> viewFresh, () -> {}, settings, 1 << 20);
 
-    private void route(final RouteMode mode, final long aim) {
+    private void route(final RouteMode mode, final long latencyTargetMs) {
         put(new ItemId(ItemKind.SERVICE, "s"), new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
         put(
                 new ItemId(ItemKind.ROUTE, "r"),
-                new Route("/", "s", mode, 1000, true, "", "h", List.of(), true, 2000, aim, 0, 3, ""));
+                new Route("/", "s", mode, 1000, true, "", "h", List.of(), true, 2000, latencyTargetMs, 0, 3, ""));
     }
 
     private void put(final ItemId id, final Object body) {
         items.merge(new ChosenItem(Ballot.ZERO, new Item(id, new Version(1), Json.write(body), false, "")));
     }
 
-    private void ask(final VersionVector mark, final boolean pass, final Integer attempts) {
-        ask(1, Transport.Responder.NO_CONNECTION, mark, pass, attempts);
+    private void forward(final VersionVector versions, final boolean passThrough, final Integer attempts) {
+        forward(1, Transport.Responder.NO_CONNECTION, versions, passThrough, attempts);
     }
 
-    private void ask(
+    private void forward(
             final long serial,
             final long connectionId,
-            final VersionVector mark,
-            final boolean pass,
+            final VersionVector versions,
+            final boolean passThrough,
             final Integer attempts) {
         final int shard =
                 ShardRouting.shardOf(configuration.routeNamed("r").orElseThrow(), "/x", null, settings.shards(), 1, 0);
@@ -127,13 +127,13 @@
                         "/x",
                         shard,
                         FencingToken.ZERO,
-                        mark,
+                        versions,
                         null,
                         null,
                         null,
                         1500,
                         "id",
-                        pass,
+                        passThrough,
                         false,
                         Map.of(),
                         attempts,
@@ -143,7 +143,7 @@
                 new Transport.Responder() {
                     @Override
                     public void accept(final Message message) {
-                        answers.add((ForwardResponse) message);
+                        responses.add((ForwardResponse) message);
                     }
 
                     @Override
@@ -158,57 +158,60 @@
         shield.cancel(EDGE, new CancelRequest(incarnation, serial, CancelCause.CLIENT_LEFT));
     }
 
-    /** The edge knows of a purge that this node has not heard of, so a request waits for a while. */
-    private void askWaiting(final long serial, final long connectionId) {
-        ask(serial, connectionId, new VersionVector(Map.of("p/h.1", 9L)), false, 1);
+    /** Forwards a request of an edge that knows a purge which this node does not know, so that the request waits. */
+    private void forwardBehind(final long serial, final long connectionId) {
+        forward(serial, connectionId, new VersionVector(Map.of("p/h.1", 9L)), false, 1);
     }
 
     @Test
-    void aRequestThatIsTakenBackWhileItWaitsIsRefusedUnsent() {
+    void aRequestCancelledWhileItWaitsIsRefusedUnsent() {
         route(RouteMode.STATUS, 1600);
-        askWaiting(1, 0);
-        askWaiting(2, 0);
+        forwardBehind(1, 0);
+        forwardBehind(2, 0);
         cancel(1, "boot-1");
         cancel(1, "boot-1");
         loop.run(60);
-        assertEquals(1, answers.size());
-        assertEquals(OriginDispatch.CANCELLED, answers.get(0).reason());
-        assertEquals(1, answers.get(0).unusedAttempts());
+        assertEquals(1, responses.size());
+        assertEquals(OriginDispatch.CANCELLED, responses.get(0).reason());
+        assertEquals(1, responses.get(0).unusedAttempts());
     }
 
     @Test
-    void aRequestThatWasTakenBackBeforeItCameIsRefused() {
+    void aRequestCancelledBeforeItArrivesIsRefused() {
         route(RouteMode.STATUS, 1600);
         cancel(1, "boot-1");
-        askWaiting(1, 0);
-        assertEquals(OriginDispatch.CANCELLED, answers.get(0).reason());
-        askWaiting(1, 0);
-        assertEquals(1, answers.size(), "it is remembered for one request only");
+        forwardBehind(1, 0);
+        assertEquals(OriginDispatch.CANCELLED, responses.get(0).reason());
+        forwardBehind(1, 0);
+        assertEquals(1, responses.size(), "an early cancel applies to one request only");
     }
 
-    /** Serials begin anew with each start of an edge. */
+    /** Serials start anew with each incarnation of an edge. */
     @Test
-    void aRequestOfAnotherStartOfTheEdgeIsNotTakenBack() {
+    void aCancelOfAnotherIncarnationOfTheEdgeIsIgnored() {
         route(RouteMode.STATUS, 1600);
         cancel(1, "boot-0");
-        askWaiting(1, 0);
+        forwardBehind(1, 0);
         cancel(1, "boot-0");
         loop.run(60);
-        assertEquals(0, answers.size());
+        assertEquals(0, responses.size());
     }
 
     @Test
-    void allThatCameOnAConnectionIsTakenBackWhenItEnds() {
+    void requestsAreCancelledWhenTheirConnectionEnds() {
         route(RouteMode.STATUS, 1600);
-        askWaiting(1, 7);
-        askWaiting(2, 8);
-        askWaiting(3, 7);
+        forwardBehind(1, 7);
+        forwardBehind(2, 8);
+        forwardBehind(3, 7);
         connectionClosed.accept(7);
         loop.run(60);
-        assertEquals(2, answers.size());
+        assertEquals(2, responses.size());
     }
 
-    /** Another shield's report comes first after the pause: it frees the slot that the requests wait for. */
+    /**
+     * The first message after the pause is another shield's load report, which frees the slot that the requests wait
+     * for.
+     */
     @Test
     void aRequestThatWaitedThroughAPauseIsSentOnceItsEdgeHasConfirmedIt() {
         final NodeId other = NodeId.of("n2");
@@ -217,43 +220,44 @@
                 new ItemId(ItemKind.ORIGIN, "o"),
                 new Origin("s", "10.0.0.1", 80, "o", ServiceKind.OPEN, 0, 0, false, 1, "z", 1, 0));
         dispatcher.onLoadReport(other, new LoadReport(Map.of("o", 9)));
-        ask(1, 0, null, true, 1);
-        ask(2, 0, null, true, 1);
+        forward(1, 0, null, true, 1);
+        forward(2, 0, null, true, 1);
         assertEquals(2, dispatcher.inFlight());
         loop.pause(1300);
         dispatcher.onLoadReport(other, new LoadReport(Map.of()));
-        assertEquals(0, sent.size(), "its edge has not said that it still waits");
+        assertEquals(0, sent.size(), "the edge has not confirmed the requests");
         loop.run(1);
         confirmations.get(0).accept(Reply.of(new OpenForwardsResponse(List.of(2L))));
         loop.run(100);
         assertEquals(1, sent.size());
         assertEquals(
                 List.of(RequestOutcome.REFUSED, RequestOutcome.DONE),
-                answers.stream().map(ForwardResponse::fate).toList());
+                responses.stream().map(ForwardResponse::fate).toList());
     }
 
-    /** Guards against memory that grows with cancels for requests that were answered long ago. */
+    /** Guards against memory growth by cancels of requests that were answered long ago. */
     @Test
-    void whatIsRememberedOfRequestsThatWereTakenBackIsBounded() {
+    void theNumberOfEarlyCancelsKeptIsBounded() {
         final OpenForwards forwards = new OpenForwards();
-        for (int i = 0; i < 3 * OpenForwards.MAX_REMEMBERED; i++) {
+        for (int i = 0; i < 3 * OpenForwards.MAX_EARLY_CANCELS; i++) {
             forwards.cancel(new OpenForwards.Id(EDGE, "boot-1", i), CancelCause.ANSWERED, 5);
         }
-        assertEquals(OpenForwards.MAX_REMEMBERED, forwards.rememberedCount());
-        forwards.cancel(new OpenForwards.Id(EDGE, "boot-1", -1), CancelCause.ANSWERED, 6 + OpenForwards.REMEMBERED_MS);
-        assertEquals(1, forwards.rememberedCount());
+        assertEquals(OpenForwards.MAX_EARLY_CANCELS, forwards.earlyCancelCount());
+        forwards.cancel(
+                new OpenForwards.Id(EDGE, "boot-1", -1), CancelCause.ANSWERED, 6 + OpenForwards.EARLY_CANCEL_TTL_MS);
+        assertEquals(1, forwards.earlyCancelCount());
     }
 
-    /** The edge knows of a purge that this node has not heard of. */
+    /** The edge knows a purge that this node does not know. */
     @Test
-    void aReadWaitsForNewsForAQuarterOfItsAimAtMost() {
+    void aReadWaitsForAnUpdateForAtMostAQuarterOfItsLatencyTarget() {
         route(RouteMode.CACHED, 200);
-        ask(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
+        forward(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
         loop.run(40);
-        assertEquals(0, answers.size(), "it may hear of it");
+        assertEquals(0, responses.size(), "the node may still learn of the purge");
         loop.run(60);
-        assertEquals("the holder's frame is behind", answers.get(0).reason());
-        answers.clear();
+        assertEquals("the holder's frame is behind", responses.get(0).reason());
+        responses.clear();
         route(RouteMode.STATUS, 200);
         items.merge(new ChosenItem(
                 Ballot.ZERO,
@@ -264,12 +268,12 @@
                                 "/", "s", RouteMode.STATUS, 0, true, "", "h", List.of(), true, 2000, 200, 0, 3, "")),
                         false,
                         "")));
-        ask(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
+        forward(new VersionVector(Map.of("p/h.1", 9L)), false, 1);
         loop.run(300);
-        assertEquals(0, answers.size(), "nothing else has less time than before");
+        assertEquals(0, responses.size(), "requests other than cached reads wait longer");
     }
 
-    private void moveRouteTo(final String service, final long version) {
+    private void setRouteService(final String service, final long version) {
         items.merge(new ChosenItem(
                 Ballot.ZERO,
                 new Item(
@@ -281,72 +285,72 @@
                         "")));
     }
 
-    private void originOf(final String service) {
+    private void addServiceWithOrigin(final String service) {
         put(new ItemId(ItemKind.SERVICE, service), new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
         put(
                 new ItemId(ItemKind.ORIGIN, "o-" + service),
                 new Origin(service, "10.0.0.1", 80, "o-" + service, ServiceKind.OPEN, 0, 0, false, 4, "z", 1, 0));
     }
 
-    /** Guards against a request that is run by an older version of its route than its edge goes by. */
+    /** Guards against a request that is handled by an older version of its route than its edge uses. */
     @Test
-    void aRequestOfANewerVersionOfItsRouteWaitsForItAndIsRefusedUnsentWithoutIt() {
+    void aRequestWaitsForTheRouteVersionOfItsEdgeAndIsRefusedUnsentWithoutIt() {
         route(RouteMode.STATUS, 0);
-        originOf("s");
-        originOf("t");
+        addServiceWithOrigin("s");
+        addServiceWithOrigin("t");
         edgeRouteVersion = 2L;
         edgeService = "t";
-        ask(null, true, 1);
+        forward(null, true, 1);
         loop.run(200);
-        moveRouteTo("t", 2);
+        setRouteService("t", 2);
         loop.run(100);
         assertEquals(
                 List.of("t"),
                 sent.stream().map(OriginTransport.OutboundRequest::service).toList());
         edgeRouteVersion = 3L;
-        ask(null, true, 1);
+        forward(null, true, 1);
         loop.run(450);
-        assertEquals("the holder's frame is behind", answers.get(1).reason());
-        assertEquals(1, answers.get(1).unusedAttempts());
+        assertEquals("the holder's frame is behind", responses.get(1).reason());
+        assertEquals(1, responses.get(1).unusedAttempts());
         viewFresh = false;
-        ask(null, true, 1);
-        assertEquals(500, answers.get(2).retryAfterMs(), "another shield is asked at once");
+        forward(null, true, 1);
+        assertEquals(500, responses.get(2).retryAfterMs(), "the edge asks another shield at once");
         assertEquals(1, sent.size());
     }
 
-    /** Guards against an edge that goes back to an older version, since one shield is ahead of another. */
+    /** Guards against an edge that goes back to an older route version because one shield is ahead of another. */
     @Test
-    void aRequestRunsByTheVersionThatItsEdgeGoesByThoughThisNodeKnowsANewerOne() {
+    void aRequestUsesTheRouteVersionOfItsEdgeAlthoughThisNodeKnowsANewerOne() {
         route(RouteMode.STATUS, 0);
-        originOf("s");
-        originOf("t");
-        moveRouteTo("t", 2);
+        addServiceWithOrigin("s");
+        addServiceWithOrigin("t");
+        setRouteService("t", 2);
         edgeRouteVersion = 1L;
         edgeService = "s";
-        ask(null, true, 1);
+        forward(null, true, 1);
         edgeService = null;
-        ask(null, true, 1);
+        forward(null, true, 1);
         edgeService = "removed";
-        ask(null, true, 1);
+        forward(null, true, 1);
         loop.run(10);
         assertEquals(
                 List.of("s", "t", "t"),
                 sent.stream().map(OriginTransport.OutboundRequest::service).toList(),
-                "by this node's own version where the edge's view is not confirmed, or its service is gone");
+                "this node's own version is used if the edge's view is not confirmed or its service is removed");
     }
 
     @Test
-    void whatSentNothingSaysThatItsAttemptsAreUnused() {
+    void aRequestThatWasNotSentReportsItsAttemptsAsUnused() {
         route(RouteMode.CACHED, 200);
-        ask(null, false, 1);
-        assertEquals("not the holder", answers.get(0).reason());
-        assertEquals(1, answers.get(0).unusedAttempts());
-        ask(null, true, 2);
+        forward(null, false, 1);
+        assertEquals("not the holder", responses.get(0).reason());
+        assertEquals(1, responses.get(0).unusedAttempts());
+        forward(null, true, 2);
         assertEquals(
                 "no origin of the service is known or left to try",
-                answers.get(1).reason());
-        assertEquals(2, answers.get(1).unusedAttempts());
-        ask(null, true, null);
-        assertEquals(0, answers.get(2).unusedAttempts(), "nothing was given by an edge that counts none");
+                responses.get(1).reason());
+        assertEquals(2, responses.get(1).unusedAttempts());
+        forward(null, true, null);
+        assertEquals(0, responses.get(2).unusedAttempts(), "an edge that states no attempts has granted none");
     }
 }
