--- a/control/src/main/java/org/rowanvalve/control/json/Json.java
+++ b/control/src/main/java/org/rowanvalve/control/json/Json.java
@@ -25,12 +25,12 @@
         }
     }
 
-    /** For bodies that this project wrote and checked itself. */
+    /** Reads a body that this project wrote and validated itself. */
     public static <T> T read(final String text, final Class<T> type) {
         try {
             return MAPPER.readValue(text, type);
         } catch (final JsonProcessingException e) {
-            throw new IllegalStateException("own JSON cannot be read", e);
+            throw new IllegalStateException("stored JSON cannot be parsed", e);
         }
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
@@ -7,12 +7,15 @@
 import java.util.Set;
 import org.rowanvalve.common.model.ValidationError;
 
-/** Reads one object's members, noting what is missing, of the wrong type, out of range or unknown. */
+/**
+ * Reads the members of one JSON object and reports members that are missing, of the wrong type, out of range or
+ * unknown.
+ */
 public final class JsonObjectReader {
     private final Map<?, ?> members;
     private final String path;
     private final List<ValidationError> errors;
-    private final Set<String> knownMembers = new HashSet<>();
+    private final Set<String> knownNames = new HashSet<>();
 
     public JsonObjectReader(final Object value, final String path, final List<ValidationError> errors) {
         this.path = path;
@@ -25,23 +28,23 @@
         }
     }
 
-    /** Adds an error at the member {@code name}, or at the object itself where it is empty. */
+    /** Adds an error for the member {@code name}, or for the object itself if {@code name} is empty. */
     public void addError(final String name, final String text) {
         errors.add(new ValidationError(name.isEmpty() ? path.isEmpty() ? "/" : path : path + "/" + name, text));
     }
 
-    private Object member(final String name, final boolean must) {
-        knownMembers.add(name);
+    private Object member(final String name, final boolean required) {
+        knownNames.add(name);
         final Object value = members.get(name);
-        if (value == null && (must || members.containsKey(name))) {
+        if (value == null && (required || members.containsKey(name))) {
             addError(name, members.containsKey(name) ? "must not be null" : "missing");
         }
         return value;
     }
 
-    /** The text of a member; {@code fallback} where there is none or it is of another type. */
-    public String text(final String name, final boolean must, final String fallback) {
-        final Object value = member(name, must);
+    /** The text of a member; {@code fallback} if the member is missing or of another type. */
+    public String text(final String name, final boolean required, final String fallback) {
+        final Object value = member(name, required);
         if (value == null) {
             return fallback;
         }
@@ -52,7 +55,7 @@
         return fallback;
     }
 
-    /** The text of a member that has to be there and may not be empty. */
+    /** The text of a required member, which must not be empty. */
     public String nonEmptyText(final String name) {
         final String text = text(name, true, "");
         if ("".equals(members.get(name))) {
@@ -61,12 +64,12 @@
         return text;
     }
 
-    public String oneOf(final String name, final Set<String> words) {
-        final String s = text(name, true, "");
-        if (!s.isEmpty() && !words.contains(s)) {
-            addError(name, "must be one of " + words.stream().sorted().toList());
+    public String oneOf(final String name, final Set<String> allowed) {
+        final String text = text(name, true, "");
+        if (!text.isEmpty() && !allowed.contains(text)) {
+            addError(name, "must be one of " + allowed.stream().sorted().toList());
         }
-        return s;
+        return text;
     }
 
     public boolean booleanValue(final String name, final boolean fallback) {
@@ -79,11 +82,11 @@
     }
 
     /**
-     * The number of a member, between {@code least} and {@code most}; {@code fallback} where there is none or an error.
+     * The number of a member, from {@code min} to {@code max}; {@code fallback} if the member is missing or invalid.
      */
     public BigDecimal number(
-            final String name, final boolean must, final long fallback, final long least, final long most) {
-        final Object value = member(name, must);
+            final String name, final boolean required, final long fallback, final long min, final long max) {
+        final Object value = member(name, required);
         final BigDecimal base = BigDecimal.valueOf(fallback);
         if (value == null) {
             return base;
@@ -92,16 +95,16 @@
             addError(name, "a number is wanted here");
             return base;
         }
-        if (number.compareTo(BigDecimal.valueOf(least)) < 0 || number.compareTo(BigDecimal.valueOf(most)) > 0) {
-            addError(name, "must be from " + least + " to " + most);
+        if (number.compareTo(BigDecimal.valueOf(min)) < 0 || number.compareTo(BigDecimal.valueOf(max)) > 0) {
+            addError(name, "must be from " + min + " to " + max);
             return base;
         }
         return number;
     }
 
     public long wholeNumber(
-            final String name, final boolean must, final long fallback, final long least, final long most) {
-        final BigDecimal number = number(name, must, fallback, least, most);
+            final String name, final boolean required, final long fallback, final long min, final long max) {
+        final BigDecimal number = number(name, required, fallback, min, max);
         if (number.stripTrailingZeros().scale() > 0) {
             addError(name, "a whole number is wanted here");
             return fallback;
@@ -130,7 +133,7 @@
         return List.of();
     }
 
-    /** A list of texts that differ from each other. */
+    /** The texts of a list member, which must be distinct. */
     public List<String> distinctTexts(final String name) {
         final List<String> texts = list(name).stream()
                 .filter(String.class::isInstance)
@@ -151,16 +154,16 @@
         return errors;
     }
 
-    /** Marks a member as known that is read elsewhere. */
+    /** Marks a member that is read elsewhere as known. */
     public void knownMembers(final String name) {
-        knownMembers.add(name);
+        knownNames.add(name);
     }
 
     /** Adds an error for each member that was neither read nor marked as known. */
     public void rejectUnknownMembers() {
         members.keySet().stream()
                 .map(String::valueOf)
-                .filter(k -> !knownMembers.contains(k))
-                .forEach(k -> addError(k, "unknown member"));
+                .filter(name -> !knownNames.contains(name))
+                .forEach(name -> addError(name, "unknown member"));
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonReader.java
@@ -16,9 +16,9 @@
 import org.rowanvalve.common.model.ValidationError;
 
 /**
- * Reads operators' JSON whole, so that every fault is found with its path in one pass. What RFC 8259 calls no JSON text
- * is refused: the bytes are UTF-8, and only white space follows the value. Beyond that, a member that is stated twice
- * and half a surrogate pair are faults, since neither can be given back as it came.
+ * Reads the JSON text of an operator completely, so that every error is reported with its path in one pass. The text
+ * must be valid under RFC 8259: the bytes are UTF-8, and only white space follows the value. In addition, duplicate
+ * members and unpaired surrogates are errors, since neither can be returned as received.
  */
 public final class JsonReader {
     private static final int MAX_DEPTH = 16;
@@ -34,23 +34,23 @@
         this.errors = errors;
     }
 
-    /** Parses JSON; null with an error where it cannot be parsed. */
-    public static Object read(final byte[] data, final List<ValidationError> faults) {
+    /** Parses JSON; returns null and adds an error if the text cannot be parsed. */
+    public static Object read(final byte[] data, final List<ValidationError> errors) {
         try (JsonParser parser = FACTORY.createParser(decode(data))) {
             parser.nextToken();
-            final Object value = new JsonReader(faults).readValue(parser, "", 0);
-            if (hasMore(parser)) {
-                faults.add(new ValidationError("/", "text after the value"));
+            final Object value = new JsonReader(errors).readValue(parser, "", 0);
+            if (hasTrailingText(parser)) {
+                errors.add(new ValidationError("/", "text after the value"));
             }
             return value;
         } catch (final IOException e) {
-            faults.add(new ValidationError("/", "not readable as JSON"));
+            errors.add(new ValidationError("/", "not readable as JSON"));
             return null;
         }
     }
 
-    /** Whether anything but white space follows, a token or not. */
-    private static boolean hasMore(final JsonParser parser) {
+    /** Whether anything but white space follows the value, whether or not it is a valid token. */
+    private static boolean hasTrailingText(final JsonParser parser) {
         try {
             return parser.nextToken() != null;
         } catch (final IOException e) {
@@ -67,14 +67,14 @@
                 .toString();
     }
 
-    /** The value whose first token is the parser's present one. */
+    /** Reads the value whose first token is the current token of the parser. */
     private Object readValue(final JsonParser parser, final String path, final int depth) throws IOException {
         if (depth > MAX_DEPTH) {
-            throw new JsonParseException(parser, "too deep");
+            throw new JsonParseException(parser, "nested too deeply");
         }
         final JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new JsonParseException(parser, "no value");
+            throw new JsonParseException(parser, "a value is missing");
         }
         return switch (token) {
             case VALUE_STRING -> checkedText(parser.getText(), path);
@@ -84,7 +84,7 @@
             case VALUE_NULL -> null;
             case START_ARRAY -> readArray(parser, path, depth);
             case START_OBJECT -> readObject(parser, path, depth);
-            default -> throw new JsonParseException(parser, "no value");
+            default -> throw new JsonParseException(parser, "a value is missing");
         };
     }
 
@@ -100,12 +100,12 @@
             throws IOException {
         final Map<String, Object> map = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
-            final String at = path + "/" + parser.currentName();
-            final String name = checkedText(parser.currentName(), at);
+            final String memberPath = path + "/" + parser.currentName();
+            final String name = checkedText(parser.currentName(), memberPath);
             parser.nextToken();
-            final Object value = readValue(parser, at, depth + 1);
+            final Object value = readValue(parser, memberPath, depth + 1);
             if (map.containsKey(name)) {
-                errors.add(new ValidationError(at, "member stated twice"));
+                errors.add(new ValidationError(memberPath, "member stated twice"));
             }
             map.put(name, value);
         }
@@ -128,7 +128,7 @@
             }
             return number;
         } catch (final NumberFormatException e) {
-            throw new JsonParseException(parser, "bad number", e);
+            throw new JsonParseException(parser, "invalid number", e);
         }
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/json/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/json/package-info.java
@@ -1,5 +1,5 @@
 /**
- * JSON: bodies of items that the project wrote itself, and operators' input, of which every error is reported with its
+ * Reads and writes the JSON bodies of items, and reads operators' input, for which every error is reported with its
  * path.
  */
 package org.rowanvalve.control.json;
--- a/control/src/main/java/org/rowanvalve/control/operator/ApiResponse.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ApiResponse.java
@@ -8,21 +8,24 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.common.model.ValidationError;
 
-/** A status and the members of the JSON body that goes with it. */
+/** An HTTP status with the members of its JSON body. */
 public record ApiResponse(int status, Map<String, Object> body) {
-    /** {@code pairs}: further members of the body, name and value in turn. */
+    /** A 200 response. {@code pairs}: further members of the body as alternating names and values. */
     public static ApiResponse done(final Object... pairs) {
         final Map<String, Object> body = members("fate", "done");
         body.putAll(members(pairs));
         return new ApiResponse(200, body);
     }
 
-    /** The result is not known; the same request may be repeated after {@code retryMs}. */
+    /** A 503 response: the result is not known, and the client may repeat the same request after {@code retryMs}. */
     public static ApiResponse unavailable(final String reason, final long retryMs) {
         return new ApiResponse(503, members("fate", "refused", "reason", reason, "retryAfterMs", retryMs));
     }
 
-    /** The version was taken with another body; {@code version} is the one that stands. */
+    /**
+     * A 409 response: the version was already used with a different body. {@code version}: the highest version of the
+     * item.
+     */
     public static ApiResponse conflict(final ItemId item, final long version) {
         return new ApiResponse(
                 409,
@@ -37,15 +40,15 @@
                         version));
     }
 
-    /** Whether the same request will be refused for good. */
+    /** Whether the request is rejected permanently, so that repeating it cannot succeed. */
     boolean isRefusal() {
         return status / 100 == 4;
     }
 
-    /** What the journal says of an update that was refused with this response. */
+    /** The journal event for an update that was rejected with this response. */
     Event refusalEvent() {
         final List<?> findings = body.get("findings") instanceof List<?> list ? list : List.of();
-        final Map<?, ?> first = findings.isEmpty() ? Map.of() : (Map<?, ?>) findings.get(0);
+        final Map<?, ?> firstFinding = findings.isEmpty() ? Map.of() : (Map<?, ?>) findings.get(0);
         return Event.of(
                 EventCode.UPDATE_REFUSED,
                 "status",
@@ -53,12 +56,12 @@
                 "errors",
                 findings.size(),
                 "path",
-                String.valueOf(first.isEmpty() ? body.getOrDefault("item", "") : first.get("path")),
+                String.valueOf(firstFinding.isEmpty() ? body.getOrDefault("item", "") : firstFinding.get("path")),
                 "why",
-                String.valueOf(first.isEmpty() ? body.getOrDefault("reason", "") : first.get("text")));
+                String.valueOf(firstFinding.isEmpty() ? body.getOrDefault("reason", "") : firstFinding.get("text")));
     }
 
-    /** Members of a JSON object, name and value in turn. */
+    /** The members of a JSON object from alternating names and values. */
     static Map<String, Object> members(final Object... pairs) {
         final Map<String, Object> map = new LinkedHashMap<>();
         for (int i = 0; i < pairs.length; i += 2) {
@@ -67,8 +70,8 @@
         return map;
     }
 
-    /** The declaration has errors; nothing of it was taken. */
-    public static ApiResponse invalid(final List<ValidationError> list) {
+    /** A 422 response: the request has validation errors, and no part of it was applied. */
+    public static ApiResponse invalid(final List<ValidationError> errors) {
         return new ApiResponse(
                 422,
                 members(
@@ -77,7 +80,7 @@
                         "reason",
                         "the statement has faults",
                         "findings",
-                        list.stream()
+                        errors.stream()
                                 .map(error -> members("path", error.path(), "text", error.message()))
                                 .toList()));
     }
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
@@ -24,10 +24,10 @@
 import org.rowanvalve.control.store.ItemStore;
 import org.rowanvalve.control.view.ViewSynchronizer;
 
-/** Takes what operators and origins declare, at any node. */
+/** Accepts single items and complete configurations from operators and announcements from origins, at any node. */
 public final class ConfigurationService {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
-    private static final long CONTACT_TIMEOUT_MILLIS = 700;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 700;
     private final EventLoop loop;
     private final ItemStore items;
     private final ViewSynchronizer view;
@@ -55,40 +55,47 @@
     }
 
     /**
-     * What a declaration comes to before it is compared with the chosen items: its errors, and the item's body where
-     * there are none.
+     * The result of validating a request before anything is proposed: the errors, or, if there are none, the body of
+     * the item.
      */
     record Validation(List<ValidationError> errors, String body) {}
 
-    /** Errors are reported only as a majority sees them: what was declared elsewhere a moment ago may resolve them. */
+    /**
+     * Calls {@code onValid} with the validated body. Errors are reported only after a majority has confirmed this
+     * node's view, since an item that was recently written through another node may resolve them.
+     */
     private void whenValid(
-            final Supplier<Validation> check, final Consumer<String> accepted, final Consumer<ApiResponse> callback) {
+            final Supplier<Validation> validator,
+            final Consumer<String> onValid,
+            final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
             callback.accept(unavailable());
             return;
         }
-        final Validation first = check.get();
-        if (first.errors().isEmpty()) {
-            accepted.accept(first.body());
+        final Validation validation = validator.get();
+        if (validation.errors().isEmpty()) {
+            onValid.accept(validation.body());
             return;
         }
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
-            final Validation again = check.get();
-            if (!ok) {
+        view.awaitConfirmation(loop.now(), CONFIRMATION_TIMEOUT_MILLIS, confirmed -> {
+            final Validation revalidation = validator.get();
+            if (!confirmed) {
                 callback.accept(unavailable());
-            } else if (again.errors().isEmpty()) {
-                accepted.accept(again.body());
+            } else if (revalidation.errors().isEmpty()) {
+                onValid.accept(revalidation.body());
             } else {
-                callback.accept(ApiResponse.invalid(again.errors()));
+                callback.accept(ApiResponse.invalid(revalidation.errors()));
             }
         });
     }
 
-    /** Reads the chosen items as of a moment after the request. */
+    /** Reads the chosen items from a view that a majority has confirmed after the request arrived. */
     public void inContact(final Supplier<ApiResponse> read, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
-                    loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> callback.accept(ok ? read.get() : unavailable()));
+                    loop.now(),
+                    CONFIRMATION_TIMEOUT_MILLIS,
+                    confirmed -> callback.accept(confirmed ? read.get() : unavailable()));
         } else {
             callback.accept(unavailable());
         }
@@ -99,17 +106,17 @@
     }
 
     private List<ValidationError> newErrors(final Configuration before, final Configuration after) {
-        final List<ValidationError> old = new ArrayList<>();
-        final List<ValidationError> current = new ArrayList<>();
-        before.checkReferences(old);
-        after.checkReferences(current);
-        current.removeAll(old);
-        return current;
+        final List<ValidationError> oldErrors = new ArrayList<>();
+        final List<ValidationError> newErrors = new ArrayList<>();
+        before.checkReferences(oldErrors);
+        after.checkReferences(newErrors);
+        newErrors.removeAll(oldErrors);
+        return newErrors;
     }
 
     /**
-     * Declares one item. {@code expectedVersion}: the version it replaces; {@code operationId}: recognizes a repeat of
-     * the same call.
+     * Creates or replaces one item. {@code expectedVersion}: the version that the new one replaces; {@code
+     * operationId}: identifies repeats of the same request, may be null.
      */
     public void putItem(
             final ItemId id,
@@ -141,7 +148,7 @@
         return new Validation(errors, errors.isEmpty() ? next.bodies().get(id) : null);
     }
 
-    /** Deletes one item that stands at {@code expectedVersion}. */
+    /** Deletes one item whose current version is {@code expectedVersion}. */
     public void deleteItem(
             final ItemId id,
             final long expectedVersion,
@@ -168,19 +175,19 @@
         return new Validation(newErrors(Configuration.of(items), next), null);
     }
 
-    private String writeIdOf(final String given) {
-        return given == null || given.isEmpty() ? writeIds.get() : "w-" + given;
+    private String writeIdOf(final String operationId) {
+        return operationId == null || operationId.isEmpty() ? writeIds.get() : "w-" + operationId;
     }
 
     private interface ItemChange {
-        Item next(Item now);
+        Item next(Item current);
     }
 
     private void writeItem(
             final ItemId id,
             final long expectedVersion,
             final String operationId,
-            final ItemChange step,
+            final ItemChange change,
             final Consumer<ApiResponse> callback) {
         final String writeId = writeIdOf(operationId);
         proposer.propose(
@@ -188,14 +195,14 @@
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
                 current -> {
-                    final boolean fits = current.version().number() == expectedVersion
+                    final boolean versionMatches = current.version().number() == expectedVersion
                             || current.deleted() && expectedVersion == 0
                             || current.version().number() == 0
                                     && items.collectionFloor().covers(id, expectedVersion);
-                    if (!fits) {
+                    if (!versionMatches) {
                         return Optional.empty();
                     }
-                    final Item next = step.next(current);
+                    final Item next = change.next(current);
                     return Optional.of(
                             new Item(next.id(), items.nextVersion(next), next.body(), next.deleted(), writeId));
                 },
@@ -203,7 +210,7 @@
     }
 
     private static ApiResponse response(final ItemId id, final Proposer.Result result) {
-        final String writeId = id.kind().label() + "/" + id.name();
+        final String itemPath = id.kind().label() + "/" + id.name();
         return switch (result.status()) {
             case ACCEPTED ->
                 new ApiResponse(
@@ -212,7 +219,7 @@
                                 "fate",
                                 "done",
                                 "item",
-                                writeId,
+                                itemPath,
                                 "version",
                                 result.item().version().number()));
             case CONFLICT ->
@@ -222,7 +229,7 @@
                                 "fate",
                                 "refused",
                                 "item",
-                                writeId,
+                                itemPath,
                                 "reason",
                                 "the item stands at another version",
                                 "version",
@@ -232,11 +239,11 @@
                 new ApiResponse(
                         504,
                         ApiResponse.members(
-                                "fate", "unknown", "item", writeId, "reason", "no majority confirmed in time"));
+                                "fate", "unknown", "item", itemPath, "reason", "no majority confirmed in time"));
         };
     }
 
-    /** A complete configuration: checked as one, then declared item by item. */
+    /** Replaces the whole configuration: validates it as a whole, then writes the changes item by item. */
     public void applyConfiguration(final byte[] data, final Consumer<ApiResponse> callback) {
         whenValid(
                 () -> {
@@ -244,35 +251,35 @@
                     Configuration.read(data, errors);
                     return new Validation(errors, null);
                 },
-                body -> writeDeclared(Configuration.read(data, new ArrayList<>()), callback),
+                body -> writeChanges(Configuration.read(data, new ArrayList<>()), callback),
                 callback);
     }
 
-    private void writeDeclared(final Configuration want, final Consumer<ApiResponse> callback) {
-        final Map<ItemId, String> current = Configuration.of(items).bodies();
-        final Map<ItemId, String> next = want.bodies();
+    private void writeChanges(final Configuration target, final Consumer<ApiResponse> callback) {
+        final Map<ItemId, String> currentBodies = Configuration.of(items).bodies();
+        final Map<ItemId, String> targetBodies = target.bodies();
         final List<ItemId> pending = new ArrayList<>();
         final List<ItemId> deleted = new ArrayList<>();
         for (final ItemKind kind : List.of(ItemKind.SERVICE, ItemKind.ROUTE, ItemKind.PURGE)) {
-            next.forEach((id, body) -> {
-                if (id.kind() == kind && !body.equals(current.get(id))) {
+            targetBodies.forEach((id, body) -> {
+                if (id.kind() == kind && !body.equals(currentBodies.get(id))) {
                     pending.add(id);
                 }
             });
         }
         for (final ItemKind kind : List.of(ItemKind.ROUTE, ItemKind.SERVICE)) {
-            current.keySet().stream()
-                    .filter(id -> id.kind() == kind && !next.containsKey(id))
+            currentBodies.keySet().stream()
+                    .filter(id -> id.kind() == kind && !targetBodies.containsKey(id))
                     .forEach(deleted::add);
         }
         pending.addAll(deleted);
-        writeNext(pending, next, new ArrayList<>(), 200, callback);
+        writeNext(pending, targetBodies, new ArrayList<>(), 200, callback);
     }
 
     private void writeNext(
             final List<ItemId> pending,
-            final Map<ItemId, String> next,
-            final List<Map<String, Object>> done,
+            final Map<ItemId, String> targetBodies,
+            final List<Map<String, Object>> results,
             final int worstStatus,
             final Consumer<ApiResponse> callback) {
         if (pending.isEmpty()) {
@@ -282,44 +289,44 @@
                             "fate",
                             worstStatus == 200 ? "done" : worstStatus == 504 ? "unknown" : "refused",
                             "items",
-                            done)));
+                            results)));
             return;
         }
         final ItemId id = pending.get(0);
         final long version = items.get(id).version().number();
-        final String body = next.get(id);
+        final String body = targetBodies.get(id);
         writeItem(
                 id,
                 version,
                 null,
                 current -> body == null ? current.tombstone("") : current.successor(body, ""),
                 response -> {
-                    done.add(response.body());
+                    results.add(response.body());
                     if (response.status() != 200 && response.status() != 409) {
-                        writeNext(List.of(), next, done, response.status(), callback);
+                        writeNext(List.of(), targetBodies, results, response.status(), callback);
                     } else {
                         writeNext(
                                 pending.subList(1, pending.size()),
-                                next,
-                                done,
+                                targetBodies,
+                                results,
                                 Math.max(worstStatus, response.status()),
                                 callback);
                     }
                 });
     }
 
-    /** Takes an origin's announcement, valid for its time to live. */
-    public void announceOrigin(final String writeId, final byte[] data, final Consumer<ApiResponse> callback) {
+    /** Writes an announcement of an origin, which is valid for the time to live that it states. */
+    public void announceOrigin(final String originName, final byte[] data, final Consumer<ApiResponse> callback) {
         whenValid(
-                () -> announcements.validate(writeId, data),
+                () -> announcements.validate(originName, data),
                 body -> announcements.write(
-                        writeId,
+                        originName,
                         Json.read(body, Origin.class),
-                        result -> callback.accept(response(new ItemId(ItemKind.ORIGIN, writeId), result))),
+                        result -> callback.accept(response(new ItemId(ItemKind.ORIGIN, originName), result))),
                 callback);
     }
 
-    /** The item as this node has learned it, without asking others; 404 where there is none. */
+    /** The item as this node has learned it, without contacting other nodes; 404 if the item does not exist. */
     public ApiResponse getItem(final ItemId id) {
         final Item item = items.get(id);
         if (item.version().equals(Version.ZERO) || item.deleted()) {
@@ -333,7 +340,7 @@
                             "state",
                             "absent"));
         }
-        final Map<String, Object> all = ApiResponse.members(
+        final Map<String, Object> body = ApiResponse.members(
                 "item",
                 id.kind().label() + "/" + id.name(),
                 "version",
@@ -342,34 +349,36 @@
                 "stated",
                 "body",
                 Json.read(item.body(), Map.class));
-        final List<Object> unfit = referenceErrors().stream()
+        final List<Object> findings = referenceErrors().stream()
                 .filter(error -> error.path().startsWith(pathOf(id) + "/"))
                 .<Object>map(error -> ApiResponse.members("path", error.path(), "text", error.message()))
                 .toList();
-        if (!unfit.isEmpty()) {
-            all.put("findings", unfit);
+        if (!findings.isEmpty()) {
+            body.put("findings", findings);
         }
-        return new ApiResponse(200, all);
+        return new ApiResponse(200, body);
     }
 
-    /** References that do not resolve now between items that were accepted one by one. */
+    /**
+     * References between the current items that do not resolve. They can occur because items are accepted one by one.
+     */
     public List<ValidationError> referenceErrors() {
-        final List<ValidationError> list = new ArrayList<>();
-        Configuration.of(items).checkReferences(list);
-        return list;
+        final List<ValidationError> errors = new ArrayList<>();
+        Configuration.of(items).checkReferences(errors);
+        return errors;
     }
 
-    /** All items of a kind as this node has learned them, without asking others. */
+    /** All items of a kind as this node has learned them, without contacting other nodes. */
     public ApiResponse listItems(final ItemKind kind) {
-        final Map<String, Object> all = new TreeMap<>();
+        final Map<String, Object> itemsByName = new TreeMap<>();
         items.all().stream()
                 .map(ChosenItem::item)
                 .filter(item -> item.id().kind() == kind && item.exists())
-                .forEach(item -> all.put(
+                .forEach(item -> itemsByName.put(
                         item.id().name(),
                         ApiResponse.members(
                                 "version", item.version().number(), "body", Json.read(item.body(), Map.class))));
-        return new ApiResponse(200, ApiResponse.members("kind", kind.label(), "items", all));
+        return new ApiResponse(200, ApiResponse.members("kind", kind.label(), "items", itemsByName));
     }
 
     public static byte[] toJson(final ApiResponse response) {
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
@@ -26,31 +26,32 @@
 import org.rowanvalve.control.json.JsonReader;
 
 /**
- * An operator's update that sets and drops items under versions of the operator's own. For each item the highest
- * version holds, also where the update itself states an item more than once; a lower one changes nothing, but has to
- * be valid like every other. Reading finds every error of the text; {@link UpdateLedger} decides whether it fits what
- * stands.
+ * An operator's update, which sets and deletes items under versions that the operator chooses. The highest version of
+ * an item takes effect, whether the versions come from different updates or from one update that contains several
+ * revisions of the item. A revision with a lower version changes nothing, but has to be valid like every other. Reading
+ * reports every error in the text; {@link UpdateLedger} decides whether the update is consistent with the current
+ * configuration.
  */
 public final class ConfigurationUpdate {
     private static final List<ItemKind> KINDS = List.of(ItemKind.SERVICE, ItemKind.ROUTE, ItemKind.LIMIT);
     private static final BigDecimal HIGHEST_VERSION = BigDecimal.valueOf(Long.MAX_VALUE);
-    private final Map<ItemId, NavigableMap<Version, Statement>> statements = new LinkedHashMap<>();
+    private final Map<ItemId, NavigableMap<Version, Revision>> revisions = new LinkedHashMap<>();
     private final Map<ItemId, ItemUpdate> updates = new LinkedHashMap<>();
 
-    /** {@code body}: null drops the item. */
+    /** A change of one item. {@code body}: null deletes the item. */
     record ItemUpdate(@JsonProperty("ver") Version version, String body) {
-        private static final int DIGITS = 12;
+        private static final int DIGEST_LENGTH = 12;
 
-        /** The digest that distinguishes two bodies under one version. */
+        /** The digest by which the ledger distinguishes two bodies under one version. */
         String digest() {
             return body == null ? UpdateLedger.DELETED_DIGEST : digest(body);
         }
 
         static String digest(final String body) {
-            return Hash.sha256Hex(body.getBytes(StandardCharsets.UTF_8)).substring(0, DIGITS);
+            return Hash.sha256Hex(body.getBytes(StandardCharsets.UTF_8)).substring(0, DIGEST_LENGTH);
         }
 
-        /** The item that stands once this part has been applied to it. */
+        /** The item after this change: {@code current} itself unless this change has a higher version. */
         Item appliedTo(final Item current, final String writeId) {
             return current.version().number() >= version.number()
                     ? current
@@ -58,8 +59,8 @@
         }
     }
 
-    /** One of the versions under which the update states an item, with the services that it names. */
-    record Statement(ItemUpdate itemUpdate, Set<ItemId> services) {
+    /** One revision of an item in the update, with the services that the revision refers to. */
+    record Revision(ItemUpdate itemUpdate, Set<ItemId> services) {
         Version version() {
             return itemUpdate.version();
         }
@@ -67,95 +68,97 @@
 
     private ConfigurationUpdate() {}
 
-    /** Reads an update; {@code errors} gets every error with its path. */
+    /** Reads an update and adds every error with its path to {@code errors}. */
     public static ConfigurationUpdate read(final byte[] data, final List<ValidationError> errors) {
         final ConfigurationUpdate update = new ConfigurationUpdate();
         final Object value = JsonReader.read(data, errors);
         if (value == null && !errors.isEmpty()) {
             return update;
         }
-        final JsonObjectReader all = new JsonObjectReader(value, "", errors);
-        final JsonObjectReader set = new JsonObjectReader(all.object("set"), "/set", errors);
-        final JsonObjectReader drop = new JsonObjectReader(all.object("drop"), "/drop", errors);
+        final JsonObjectReader root = new JsonObjectReader(value, "", errors);
+        final JsonObjectReader set = new JsonObjectReader(root.object("set"), "/set", errors);
+        final JsonObjectReader drop = new JsonObjectReader(root.object("drop"), "/drop", errors);
         for (final ItemKind kind : KINDS) {
             final String section = kind.label() + "s";
             set.object(section)
-                    .forEach((name, stated) -> each(
-                            stated,
-                            one -> update.set(
+                    .forEach((name, revisions) -> forEachRevision(
+                            revisions,
+                            revision -> update.readRevision(
                                     new ItemId(kind, String.valueOf(name)),
-                                    one,
+                                    revision,
                                     "/set/" + section + "/" + name,
                                     errors)));
             drop.object(section)
-                    .forEach((name, stated) -> each(
-                            stated,
-                            one -> update.drop(
+                    .forEach((name, revisions) -> forEachRevision(
+                            revisions,
+                            revision -> update.readDeletion(
                                     new ItemId(kind, String.valueOf(name)),
-                                    one,
+                                    revision,
                                     "/drop/" + section + "/" + name,
                                     errors)));
         }
         set.rejectUnknownMembers();
         drop.rejectUnknownMembers();
-        all.rejectUnknownMembers();
-        update.statements.forEach((id, versions) ->
+        root.rejectUnknownMembers();
+        update.revisions.forEach((id, versions) ->
                 update.updates.put(id, versions.lastEntry().getValue().itemUpdate()));
         return update;
     }
 
-    /** An item is stated once, or several times in a list. */
-    private static void each(final Object stated, final Consumer<Object> reader) {
-        if (stated instanceof List<?> list && !list.isEmpty()) {
+    /** An item has a single revision or a non-empty list of revisions. */
+    private static void forEachRevision(final Object revisions, final Consumer<Object> reader) {
+        if (revisions instanceof List<?> list && !list.isEmpty()) {
             list.forEach(reader);
         } else {
-            reader.accept(stated);
+            reader.accept(revisions);
         }
     }
 
-    private void set(final ItemId id, final Object value, final String at, final List<ValidationError> errors) {
+    private void readRevision(
+            final ItemId id, final Object value, final String path, final List<ValidationError> errors) {
         if (!(value instanceof Map<?, ?> members)) {
-            errors.add(new ValidationError(at, "an object is wanted here"));
+            errors.add(new ValidationError(path, "an object is wanted here"));
             return;
         }
-        final Map<Object, Object> rest = new LinkedHashMap<>(members);
-        final Version version = version(rest.remove("version"), at + "/version", errors);
+        final Map<Object, Object> itemMembers = new LinkedHashMap<>(members);
+        final Version version = version(itemMembers.remove("version"), path + "/version", errors);
         final Configuration configuration = new Configuration();
-        configuration.readItem(id, rest, at, errors);
+        configuration.readItem(id, itemMembers, path, errors);
         final String body = configuration.bodies().get(id);
         if (body == null) {
-            errors.add(new ValidationError(at, "no item of this kind has this name"));
+            errors.add(new ValidationError(path, "no item of this kind has this name"));
             return;
         }
         final Set<ItemId> services = new LinkedHashSet<>();
         configuration.routes().values().forEach(route -> services.addAll(servicesOf(route)));
-        add(id, new Statement(new ItemUpdate(version, body), services), at, errors);
+        add(id, new Revision(new ItemUpdate(version, body), services), path, errors);
     }
 
-    private void drop(final ItemId id, final Object value, final String at, final List<ValidationError> errors) {
-        add(id, new Statement(new ItemUpdate(version(value, at, errors), null), Set.of()), at, errors);
+    private void readDeletion(
+            final ItemId id, final Object value, final String path, final List<ValidationError> errors) {
+        add(id, new Revision(new ItemUpdate(version(value, path, errors), null), Set.of()), path, errors);
     }
 
-    private void add(final ItemId id, final Statement statement, final String at, final List<ValidationError> errors) {
-        final Statement same =
-                statements.computeIfAbsent(id, key -> new TreeMap<>()).putIfAbsent(statement.version(), statement);
-        if (same != null && !same.itemUpdate().equals(statement.itemUpdate())) {
-            errors.add(new ValidationError(at, "two bodies under one version"));
+    private void add(final ItemId id, final Revision revision, final String path, final List<ValidationError> errors) {
+        final Revision existing =
+                revisions.computeIfAbsent(id, key -> new TreeMap<>()).putIfAbsent(revision.version(), revision);
+        if (existing != null && !existing.itemUpdate().equals(revision.itemUpdate())) {
+            errors.add(new ValidationError(path, "two bodies under one version"));
         }
     }
 
-    private static Version version(final Object value, final String at, final List<ValidationError> errors) {
+    private static Version version(final Object value, final String path, final List<ValidationError> errors) {
         if (value instanceof BigDecimal number
                 && number.stripTrailingZeros().scale() <= 0
                 && number.signum() > 0
                 && number.compareTo(HIGHEST_VERSION) <= 0) {
             return new Version(number.longValue());
         }
-        errors.add(new ValidationError(at, "a version, a whole number above 0, is wanted here"));
+        errors.add(new ValidationError(path, "a version, a whole number above 0, is wanted here"));
         return Version.ZERO;
     }
 
-    /** The services that a route names. */
+    /** The services that a route refers to. */
     static List<ItemId> servicesOf(final Route route) {
         return route.namedServices().stream()
                 .filter(name -> !name.isEmpty())
@@ -163,36 +166,35 @@
                 .toList();
     }
 
-    /** The parts that name a service that is neither set by the same update nor {@code known}. */
+    /** An error for each reference to a service that is neither set by the same update nor {@code known}. */
     public List<ValidationError> unfit(final Predicate<ItemId> known) {
-        return statements.entrySet().stream()
+        return revisions.entrySet().stream()
                 .flatMap(entry -> entry.getValue().values().stream()
-                        .flatMap(statement -> statement.services().stream())
+                        .flatMap(revision -> revision.services().stream())
                         .filter(service -> !sets(service) && !known.test(service))
                         .distinct()
                         .map(service -> ReferenceValidator.unknownService(entry.getKey(), service)))
                 .toList();
     }
 
-    /** Whether some part of the update sets the item. */
+    /** Whether any revision in the update sets the item. */
     boolean sets(final ItemId id) {
-        return statements(id).stream()
-                .anyMatch(statement -> statement.itemUpdate().body() != null);
+        return revisions(id).stream().anyMatch(revision -> revision.itemUpdate().body() != null);
     }
 
-    /** The size of the update in the ledger until its items are written. */
+    /** The size that the update takes up in the ledger until its items are written, in bytes. */
     int encodedBytes() {
         return Json.write(updates).getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** The highest part of each item. */
+    /** The revision with the highest version of each item. */
     public Map<ItemId, ItemUpdate> updates() {
         return updates;
     }
 
-    /** All parts of an item, the lowest version first. */
-    Collection<Statement> statements(final ItemId id) {
-        final NavigableMap<Version, Statement> versions = statements.get(id);
+    /** All revisions of an item in ascending order of their versions. */
+    Collection<Revision> revisions(final ItemId id) {
+        final NavigableMap<Version, Revision> versions = revisions.get(id);
         return versions == null ? List.of() : versions.values();
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/ItemStatements.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ItemStatements.java
@@ -6,24 +6,26 @@
 import java.util.Map;
 
 /**
- * What a call states of items, by their names: a body or a version, or a list of them where the call states a name more
- * than once, as {@link ConfigurationUpdate} reads them. Equal statements count once.
+ * The revisions of items in one request, by item name, in the form that {@link ConfigurationUpdate} reads: a single
+ * body or version, or a list of them if the request contains several revisions of an item. Equal revisions are kept
+ * once.
  */
 public final class ItemStatements {
-    private final Map<String, List<Object>> statements = new LinkedHashMap<>();
+    private final Map<String, List<Object>> revisionsByName = new LinkedHashMap<>();
 
-    /** {@code statement}: the members of an item that is set, or the version that drops it. */
-    public void add(final String name, final Object statement) {
-        final List<Object> all = statements.computeIfAbsent(name, key -> new ArrayList<>());
-        if (!all.contains(statement)) {
-            all.add(statement);
+    /** {@code revision}: the members of an item that is set, or the version under which the item is deleted. */
+    public void add(final String name, final Object revision) {
+        final List<Object> revisions = revisionsByName.computeIfAbsent(name, key -> new ArrayList<>());
+        if (!revisions.contains(revision)) {
+            revisions.add(revision);
         }
     }
 
-    /** As the members of an update's section. */
+    /** The members of a section of an update, by item name. */
     public Map<String, Object> members() {
         final Map<String, Object> members = new LinkedHashMap<>();
-        statements.forEach((name, all) -> members.put(name, all.size() == 1 ? all.get(0) : all));
+        revisionsByName.forEach(
+                (name, revisions) -> members.put(name, revisions.size() == 1 ? revisions.get(0) : revisions));
         return members;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/ItemWriter.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ItemWriter.java
@@ -15,12 +15,12 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Writes the registers of items as the ledger says. However many items an update has, only so many writes are in flight
- * at once: voters confirm views, renew leases and answer reads between them, and each write ends well within its
- * time-out.
+ * Writes the registers of items as the ledger prescribes. The number of concurrent writes is bounded, whatever the size
+ * of an update, so that voters can confirm views, renew leases and answer reads between the writes, and so that each
+ * write ends well within its time-out.
  */
 final class ItemWriter {
-    /** Enough to fill a round trip between regions at three milliseconds for each route. */
+    /** Enough to fill a round trip between regions if each route takes 3 ms. */
     static final int MAX_CONCURRENT_WRITES = 128;
 
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
@@ -32,7 +32,7 @@
     private final Deque<Write> queue = new ArrayDeque<>();
     private int inFlight;
 
-    /** The write of one item that is queued or in flight. */
+    /** A queued or in-flight write of one item. */
     private record Write(ItemId id, ItemUpdate itemUpdate, List<Consumer<Boolean>> waiters) {}
 
     ItemWriter(final ItemStore items, final Proposer proposer, final Supplier<String> writeIds) {
@@ -45,7 +45,7 @@
         return writes.containsKey(id);
     }
 
-    /** The callback gets whether each item is chosen in this version or a higher one. */
+    /** Calls back with whether every item is chosen in the given version or a higher one. */
     void write(final Map<ItemId, ItemUpdate> itemUpdates, final Consumer<Boolean> callback) {
         if (itemUpdates.isEmpty()) {
             callback.accept(true);
@@ -63,9 +63,10 @@
     }
 
     private void enqueue(final ItemId id, final ItemUpdate itemUpdate, final Consumer<Boolean> callback) {
-        final Write known = writes.get(id);
-        if (known != null && !itemUpdate.version().isAbove(known.itemUpdate().version())) {
-            known.waiters().add(callback);
+        final Write pending = writes.get(id);
+        if (pending != null
+                && !itemUpdate.version().isAbove(pending.itemUpdate().version())) {
+            pending.waiters().add(callback);
             return;
         }
         final Write write = new Write(id, itemUpdate, new ArrayList<>(List.of(callback)));
@@ -90,7 +91,7 @@
                 write.id(),
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
-                now -> Optional.of(write.itemUpdate().appliedTo(now, writeId)),
+                current -> Optional.of(write.itemUpdate().appliedTo(current, writeId)),
                 result -> {
                     inFlight--;
                     finish(write, result.isAccepted());
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginAnnouncementWriter.java
@@ -22,9 +22,15 @@
 import org.rowanvalve.control.json.JsonReader;
 import org.rowanvalve.control.store.ItemStore;
 
-/** Origins that announce themselves for a time to live: each announcement is checked and written as an item. */
+/** Validates announcements of origins, which are valid for a time to live, and writes each as an item. */
 final class OriginAnnouncementWriter {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
+    private static final int MAX_PORT = 65_535;
+    private static final long MAX_LOAD = 1_000_000;
+    private static final long DEFAULT_TTL_MS = 10_000;
+    private static final long MIN_TTL_MS = 1000;
+    private static final long MAX_TTL_MS = 600_000;
+
     private final ItemStore items;
     private final Proposer proposer;
     private final EventJournal journal;
@@ -41,7 +47,7 @@
         this.writeIds = writeIds;
     }
 
-    /** The announcement as the item's body, and what is wrong with it. */
+    /** The announcement as the body of an item, with its validation errors. */
     ConfigurationService.Validation validate(final String name, final byte[] data) {
         final List<ValidationError> errors = new ArrayList<>();
         final Object value = JsonReader.read(data, errors);
@@ -51,19 +57,19 @@
         final Origin announced = new Origin(
                 service,
                 object.text("host", true, ""),
-                (int) object.wholeNumber("port", true, 1, 1, 65_535),
+                (int) object.wholeNumber("port", true, 1, 1, MAX_PORT),
                 object.text("stamp", true, ""),
                 kind,
-                object.number("load", false, 0, 0, 1_000_000).doubleValue(),
-                object.wholeNumber("ttlMs", false, 10_000, 1000, 600_000),
+                object.number("load", false, 0, 0, MAX_LOAD).doubleValue(),
+                object.wholeNumber("ttlMs", false, DEFAULT_TTL_MS, MIN_TTL_MS, MAX_TTL_MS),
                 object.booleanValue("leaving", false),
                 object.wholeNumber("beat", false, 0, 0, Long.MAX_VALUE));
         object.rejectUnknownMembers();
-        final Service to = Configuration.of(items).services().get(service);
-        if (to == null) {
+        final Service announcedService = Configuration.of(items).services().get(service);
+        if (announcedService == null) {
             errors.add(new ValidationError("/service", "no configuration names this service"));
-        } else if (to.kind() != kind) {
-            errors.add(new ValidationError("/kind", "the service is of kind " + to.kind()));
+        } else if (announcedService.kind() != kind) {
+            errors.add(new ValidationError("/kind", "the service is of kind " + announcedService.kind()));
         }
         if (!name.matches("[a-z0-9][a-z0-9._-]{0,60}")) {
             errors.add(new ValidationError("/", "bad origin name"));
@@ -71,28 +77,31 @@
         return new ConfigurationService.Validation(errors, Json.write(announced));
     }
 
-    /** An origin that left does not come back under the same start, and a late announcement changes nothing. */
-    void write(final String name, final Origin announced, final Consumer<Proposer.Result> back) {
+    /**
+     * Rejects announcements of an instance that has already left, the leave of an instance other than the current one,
+     * and announcements that are older than the current one.
+     */
+    void write(final String name, final Origin announced, final Consumer<Proposer.Result> callback) {
         final ItemId id = new ItemId(ItemKind.ORIGIN, name);
         final String writeId = writeIds.get();
         proposer.propose(
                 id,
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
-                now -> {
-                    final Origin standing = now.exists() ? Json.read(now.body(), Origin.class) : null;
-                    final boolean endedBefore = standing != null
-                            && standing.draining()
-                            && standing.instance().equals(announced.instance());
-                    final boolean endOfOther = announced.draining()
-                            && standing != null
-                            && !standing.instance().equals(announced.instance());
-                    final boolean outdated = standing != null
-                            && standing.instance().equals(announced.instance())
-                            && announced.sequence() < standing.sequence();
-                    return endedBefore && !announced.draining() || endOfOther || outdated
+                current -> {
+                    final Origin registered = current.exists() ? Json.read(current.body(), Origin.class) : null;
+                    final boolean hasLeft = registered != null
+                            && registered.draining()
+                            && registered.instance().equals(announced.instance());
+                    final boolean isLeaveOfOtherInstance = announced.draining()
+                            && registered != null
+                            && !registered.instance().equals(announced.instance());
+                    final boolean isOutdated = registered != null
+                            && registered.instance().equals(announced.instance())
+                            && announced.sequence() < registered.sequence();
+                    return hasLeft && !announced.draining() || isLeaveOfOtherInstance || isOutdated
                             ? Optional.empty()
-                            : Optional.of(withNextVersion(now.successor(Json.write(announced), writeId)));
+                            : Optional.of(withNextVersion(current.successor(Json.write(announced), writeId)));
                 },
                 result -> {
                     if (result.isAccepted()) {
@@ -105,7 +114,7 @@
                                 "ver",
                                 result.item().version().number()));
                     }
-                    back.accept(result);
+                    callback.accept(result);
                 });
     }
 
--- a/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/OriginRegistry.java
@@ -19,12 +19,12 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
- * Origins that send heartbeats. An item is written only when something about an origin changes; the heartbeats
- * themselves stay in memory here.
+ * Registers origins that send heartbeats. An item is written only when the state of an origin changes; the times of the
+ * heartbeats are kept in the memory of the node that receives them.
  */
 public final class OriginRegistry {
     private static final long WRITE_TIMEOUT_MILLIS = 900;
-    private static final long CONTACT_TIMEOUT_MILLIS = 700;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 700;
     private static final long RETRY_AFTER_MS = 300;
     private final EventLoop loop;
     private final ItemStore items;
@@ -49,11 +49,11 @@
         this.writeIds = writeIds;
     }
 
-    private static boolean isUnchanged(final Origin standing, final Origin announced) {
-        return standing.isSameProcess(announced)
-                && standing.draining() == announced.draining()
-                && standing.slots() == announced.slots()
-                && standing.location().equals(announced.location());
+    private static boolean isUnchanged(final Origin registered, final Origin announced) {
+        return registered.isSameProcess(announced)
+                && registered.draining() == announced.draining()
+                && registered.slots() == announced.slots()
+                && registered.location().equals(announced.location());
     }
 
     private static ApiResponse done(final String name) {
@@ -64,13 +64,14 @@
         return ApiResponse.unavailable(reason, RETRY_AFTER_MS);
     }
 
-    private Optional<Origin> standing(final ItemId id) {
+    private Optional<Origin> registered(final ItemId id) {
         return Optional.of(items.get(id)).filter(Item::exists).map(item -> Json.read(item.body(), Origin.class));
     }
 
     /**
-     * A heartbeat. One that comes late, by its count, changes nothing, and an origin that has left does not come back.
-     * A change is written; a leave that changes nothing is acknowledged in contact with a majority.
+     * Handles a heartbeat. A delayed heartbeat, recognized by its sequence number, changes nothing, and an origin that
+     * has left cannot return. A change is written; a leave that changes nothing is acknowledged only in contact with a
+     * majority.
      */
     public void onHeartbeat(final String name, final Origin announced, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
@@ -78,12 +79,12 @@
             return;
         }
         final ItemId id = new ItemId(ItemKind.ORIGIN, name);
-        final Origin standing = standing(id).orElse(null);
+        final Origin registered = registered(id).orElse(null);
         lastHeardAt.put(id, items.now());
-        if (standing == null
-                || announced.sequence() > standing.sequence()
-                        && !standing.draining()
-                        && !isUnchanged(standing, announced)) {
+        if (registered == null
+                || announced.sequence() > registered.sequence()
+                        && !registered.draining()
+                        && !isUnchanged(registered, announced)) {
             writeOrigin(id, announced, callback);
         } else if (announced.draining()) {
             whenConfirmed(() -> callback.accept(done(name)), callback);
@@ -93,25 +94,26 @@
     }
 
     /**
-     * The origin has ended, or says so: the same as leaving, for good. A repeat, at any node, is acknowledged again.
+     * Handles the end of an origin, whether detected or announced by the origin itself. Like a leave, the end is
+     * permanent. A repeat, at any node, is acknowledged again.
      */
     public void onEnd(final String name, final Consumer<ApiResponse> callback) {
         final ItemId id = new ItemId(ItemKind.ORIGIN, name);
         lastHeardAt.remove(id);
-        if (standing(id).filter(origin -> !origin.draining()).isPresent() && view.isFresh()) {
+        if (registered(id).filter(origin -> !origin.draining()).isPresent() && view.isFresh()) {
             drain(id, callback);
         } else {
             whenConfirmed(() -> drain(id, callback), callback);
         }
     }
 
-    /** Continues once a majority has confirmed this node's view for a moment after now. */
+    /** Runs {@code action} once a majority has confirmed this node's view as of the time of the call or later. */
     private void whenConfirmed(final Runnable action, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
             callback.accept(unavailable("this node's frame is not confirmed"));
             return;
         }
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
+        view.awaitConfirmation(loop.now(), CONFIRMATION_TIMEOUT_MILLIS, ok -> {
             if (ok) {
                 action.run();
             } else {
@@ -121,23 +123,24 @@
     }
 
     private void drain(final ItemId id, final Consumer<ApiResponse> callback) {
-        standing(id)
+        registered(id)
                 .filter(origin -> !origin.draining())
                 .ifPresentOrElse(
                         origin -> writeOrigin(id, origin.ended(), callback), () -> callback.accept(done(id.name())));
     }
 
     private void writeOrigin(final ItemId id, final Origin announced, final Consumer<ApiResponse> callback) {
-        final Consumer<ApiResponse> once =
-                ResponseDeadline.inContact(loop, view, () -> unavailable("no majority confirmed it in time"), callback);
+        final Consumer<ApiResponse> singleResponse = ResponseDeadline.withDeadline(
+                loop, view, () -> unavailable("no majority confirmed it in time"), callback);
         final String writeId = writeIds.get();
         proposer.propose(
                 id,
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
                 current -> {
-                    final Origin standing = current.exists() ? Json.read(current.body(), Origin.class) : null;
-                    if (standing != null && (standing.sequence() >= announced.sequence() || standing.draining())) {
+                    final Origin registered = current.exists() ? Json.read(current.body(), Origin.class) : null;
+                    if (registered != null
+                            && (registered.sequence() >= announced.sequence() || registered.draining())) {
                         return Optional.of(current);
                     }
                     final Item next = current.successor(Json.write(announced), writeId);
@@ -154,14 +157,15 @@
                                 "ver",
                                 result.item().version().number()));
                     }
-                    once.accept(result.isAccepted() ? done(id.name()) : unavailable("no majority confirmed it"));
+                    singleResponse.accept(
+                            result.isAccepted() ? done(id.name()) : unavailable("no majority confirmed it"));
                 });
     }
 
-    /** Time since each origin was last heard from here, in ms. */
+    /** Time since this node last heard from each origin, in ms. */
     public Map<ItemId, Long> agesMs() {
-        final Map<ItemId, Long> map = new HashMap<>();
-        lastHeardAt.forEach((id, current) -> map.put(id, items.now() - current));
-        return map;
+        final Map<ItemId, Long> ages = new HashMap<>();
+        lastHeardAt.forEach((id, heardAt) -> ages.put(id, items.now() - heardAt));
+        return ages;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/ReceivedUpdate.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ReceivedUpdate.java
@@ -5,13 +5,14 @@
 import org.rowanvalve.common.model.ValidationError;
 
 /**
- * An operator's call as it was read: reading depends on nothing but the text, so a large call is read outside of the
- * event loop. {@code encodedBytes}: the size of its items in the ledger, or at least that of the text.
+ * An operator's update as read from the request. Reading depends on nothing but the text, so large updates are read
+ * outside the event loop. {@code encodedBytes}: the size of its items in the ledger, in bytes, or the size of the text
+ * if the text was too large to be read.
  */
 public record ReceivedUpdate(ConfigurationUpdate update, byte[] data, int encodedBytes, List<ValidationError> errors) {
     /**
-     * May be called in any thread. A text that is itself larger than any update may be is not read: its items take up more
-     * than the text.
+     * May be called from any thread. A text larger than {@link UpdateLimits#MAX_UPDATE_BYTES} is not read, since its
+     * items take up more space than the text.
      */
     public static ReceivedUpdate read(final byte[] data) {
         if (data.length > UpdateLimits.MAX_UPDATE_BYTES) {
@@ -22,7 +23,7 @@
         return new ReceivedUpdate(update, data, errors.isEmpty() ? update.encodedBytes() : 0, errors);
     }
 
-    /** A call with errors, of which nothing is taken. */
+    /** An update with errors, which is not applied. */
     public static ReceivedUpdate invalid(final List<ValidationError> errors) {
         return new ReceivedUpdate(null, new byte[0], 0, errors);
     }
--- a/control/src/main/java/org/rowanvalve/control/operator/ReferenceValidator.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ReferenceValidator.java
@@ -15,20 +15,23 @@
 import org.rowanvalve.control.config.Route;
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.operator.ConfigurationUpdate.ItemUpdate;
-import org.rowanvalve.control.operator.ConfigurationUpdate.Statement;
+import org.rowanvalve.control.operator.ConfigurationUpdate.Revision;
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Judges the references of an update by the configuration that it would leave: each route that takes effect needs its
- * services, and no service goes that a route in force names. Since the ledger decides updates one after the other, two
- * of them cannot break a reference between them.
+ * Checks the references of an update against the configuration that the update would produce: each route that takes
+ * effect needs its services, and a service cannot be deleted while a route in effect refers to it. The ledger decides
+ * on updates one after the other, so two updates cannot break a reference between them.
  */
 final class ReferenceValidator {
     private final UpdateLedger ledger;
     private final ConfigurationUpdate update;
     private final ItemStore items;
 
-    /** Routes in force after the update; {@code complete}: this node knows the body of each of them. */
+    /**
+     * The bodies of the routes in effect after the update; {@code complete}: whether this node knows the body of each
+     * of them.
+     */
     private record RoutesAfter(Map<ItemId, String> bodies, boolean complete) {}
 
     ReferenceValidator(final UpdateLedger ledger, final ConfigurationUpdate update, final ItemStore items) {
@@ -41,94 +44,95 @@
         return new ValidationError("/set/routes/" + route.name() + "/service", "no service is named " + service.name());
     }
 
-    /** An error for each service of this part of the update that is not known. */
-    List<ValidationError> unknownServices(final ItemId route, final Statement statement) {
-        return statement.services().stream()
-                .filter(service -> !isKnown(service, route, statement))
+    /** An error for each service that this revision refers to and that is not known. */
+    List<ValidationError> unknownServices(final ItemId route, final Revision revision) {
+        return revision.services().stream()
+                .filter(service -> !isKnown(service, route, revision))
                 .sorted()
                 .map(service -> unknownService(route, service))
                 .toList();
     }
 
     /**
-     * A part that takes effect needs services that stand afterwards; one that the same update overtakes, services that
-     * stand or are set; one that a later update has overtaken, services that ever stood.
+     * A revision that takes effect needs services that exist after the update. A revision that is superseded by the
+     * same update needs services that exist or are set by the update. A revision that a later update has already
+     * superseded needs services that have existed at some time.
      */
-    private boolean isKnown(final ItemId service, final ItemId route, final Statement statement) {
-        if (takesEffect(route, statement.itemUpdate())) {
-            return standsAfter(service);
+    private boolean isKnown(final ItemId service, final ItemId route, final Revision revision) {
+        if (takesEffect(route, revision.itemUpdate())) {
+            return existsAfter(service);
         }
-        if (update.sets(service) || ledger.stands(service, items)) {
+        if (update.sets(service) || ledger.existsAfterWrites(service, items)) {
             return true;
         }
-        final boolean overtakenBefore = statement.version().number() < ledger.highestVersion(route, items);
-        return overtakenBefore && ledger.highestVersion(service, items) > 0;
+        final boolean isSuperseded = revision.version().number() < ledger.highestVersion(route, items);
+        return isSuperseded && ledger.highestVersion(service, items) > 0;
     }
 
-    /** Whether this part becomes the state of its item. */
-    private boolean takesEffect(final ItemId id, final ItemUpdate part) {
-        return part != null
-                && part.equals(update.updates().get(id))
-                && part.version().number() > ledger.highestVersion(id, items);
+    /** Whether this change becomes the current state of its item. */
+    private boolean takesEffect(final ItemId id, final ItemUpdate itemUpdate) {
+        return itemUpdate != null
+                && itemUpdate.equals(update.updates().get(id))
+                && itemUpdate.version().number() > ledger.highestVersion(id, items);
     }
 
-    private boolean standsAfter(final ItemId id) {
-        final ItemUpdate part = update.updates().get(id);
-        return takesEffect(id, part) ? part.body() != null : ledger.stands(id, items);
+    private boolean existsAfter(final ItemId id) {
+        final ItemUpdate itemUpdate = update.updates().get(id);
+        return takesEffect(id, itemUpdate) ? itemUpdate.body() != null : ledger.existsAfterWrites(id, items);
     }
 
     /**
-     * An error for each service that the update drops while a route names it; empty where this node cannot tell, since
-     * it has not learned a route that the ledger names.
+     * An error for each service that the update deletes while a route refers to it; empty if this node cannot tell
+     * because it has not learned a route that the ledger contains.
      */
-    Optional<List<ValidationError>> droppedServicesInUse() {
-        final Set<ItemId> dropped = droppedServices();
-        if (dropped.isEmpty()) {
+    Optional<List<ValidationError>> deletedServicesInUse() {
+        final Set<ItemId> deleted = deletedServices();
+        if (deleted.isEmpty()) {
             return Optional.of(List.of());
         }
-        final RoutesAfter routes = routesAfter(dropped);
+        final RoutesAfter routes = routesAfter(deleted);
         if (!routes.complete()) {
             return Optional.empty();
         }
         return Optional.of(routes.bodies().entrySet().stream()
                 .flatMap(entry -> ConfigurationUpdate.servicesOf(Json.read(entry.getValue(), Route.class)).stream()
-                        .filter(dropped::contains)
+                        .filter(deleted::contains)
                         .map(service -> new ValidationError(
                                 "/drop/services/" + service.name(),
                                 "route " + entry.getKey().name() + " names it")))
                 .toList());
     }
 
-    private Set<ItemId> droppedServices() {
-        final Set<ItemId> dropped = new HashSet<>();
-        update.updates().forEach((id, part) -> {
+    private Set<ItemId> deletedServices() {
+        final Set<ItemId> deleted = new HashSet<>();
+        update.updates().forEach((id, itemUpdate) -> {
             if (id.kind() == ItemKind.SERVICE
-                    && part.body() == null
-                    && takesEffect(id, part)
-                    && ledger.stands(id, items)) {
-                dropped.add(id);
+                    && itemUpdate.body() == null
+                    && takesEffect(id, itemUpdate)
+                    && ledger.existsAfterWrites(id, items)) {
+                deleted.add(id);
             }
         });
-        return dropped;
+        return deleted;
     }
 
-    /** Of the routes that stand in the store only those whose text holds the name of a dropped service. */
-    private RoutesAfter routesAfter(final Set<ItemId> dropped) {
-        final Map<ItemId, ItemUpdate> open = ledger.unwritten(items::get);
+    /** Of the routes in the item store, reads only those whose body contains the name of a deleted service. */
+    private RoutesAfter routesAfter(final Set<ItemId> deleted) {
+        final Map<ItemId, ItemUpdate> unwritten = ledger.unwritten(items::get);
         final Map<ItemId, String> bodies = new LinkedHashMap<>();
         final Set<ItemId> candidates = new HashSet<>();
-        Stream.of(ledger.taken().keySet(), open.keySet(), update.updates().keySet())
+        Stream.of(ledger.taken().keySet(), unwritten.keySet(), update.updates().keySet())
                 .flatMap(Set::stream)
                 .filter(id -> id.kind() == ItemKind.ROUTE)
                 .forEach(candidates::add);
         items.all().stream()
                 .map(ChosenItem::item)
-                .filter(item -> item.id().kind() == ItemKind.ROUTE && mentions(item, dropped))
+                .filter(item -> item.id().kind() == ItemKind.ROUTE && mentions(item, deleted))
                 .forEach(item -> candidates.add(item.id()));
         boolean complete = true;
         for (final ItemId route : candidates) {
-            if (standsAfter(route)) {
-                final Optional<String> body = bodyAfter(route, open);
+            if (existsAfter(route)) {
+                final Optional<String> body = bodyAfter(route, unwritten);
                 body.ifPresent(text -> bodies.put(route, text));
                 complete &= body.isPresent();
             }
@@ -141,18 +145,18 @@
                 && services.stream().anyMatch(service -> route.body().contains("\"" + service.name() + "\""));
     }
 
-    /** Empty where the ledger names a version that this node has not learned. */
-    private Optional<String> bodyAfter(final ItemId route, final Map<ItemId, ItemUpdate> open) {
-        final ItemUpdate part = update.updates().get(route);
-        if (takesEffect(route, part)) {
-            return Optional.of(part.body());
+    /** Empty if the ledger contains a version that this node has not learned. */
+    private Optional<String> bodyAfter(final ItemId route, final Map<ItemId, ItemUpdate> unwritten) {
+        final ItemUpdate itemUpdate = update.updates().get(route);
+        if (takesEffect(route, itemUpdate)) {
+            return Optional.of(itemUpdate.body());
         }
         final long highest = ledger.highestVersion(route, items);
-        final ItemUpdate unwritten = open.get(route);
-        if (unwritten != null && unwritten.version().number() == highest) {
-            return Optional.of(unwritten.body());
+        final ItemUpdate unwrittenUpdate = unwritten.get(route);
+        if (unwrittenUpdate != null && unwrittenUpdate.version().number() == highest) {
+            return Optional.of(unwrittenUpdate.body());
         }
-        final Item standing = items.get(route);
-        return standing.version().number() == highest ? Optional.of(standing.body()) : Optional.empty();
+        final Item item = items.get(route);
+        return item.version().number() == highest ? Optional.of(item.body()) : Optional.empty();
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ResponseDeadline.java
@@ -6,35 +6,41 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
- * Gives one response, the first that is ready. Callers try another node after a second without an answer, so a node
- * that has heard from no majority since the request responds before that second is over.
+ * Delivers the first response that is ready and ignores later ones. Clients try another node after one second without a
+ * response, so a node that has had no contact with a majority since the request responds before that second has passed.
  */
 final class ResponseDeadline {
-    /** Without contact with a majority there is a response after this time. */
-    static final long CONTACT_TIMEOUT_MILLIS = 780;
+    /** Time after which a node responds that has had no contact with a majority since the request. */
+    static final long RESPONSE_TIMEOUT_MILLIS = 780;
 
     private ResponseDeadline() {}
 
-    static <T> Consumer<T> once(final Consumer<T> back) {
-        final boolean[] given = {false};
-        return answer -> {
-            if (!given[0]) {
-                given[0] = true;
-                back.accept(answer);
+    static <T> Consumer<T> once(final Consumer<T> callback) {
+        final boolean[] delivered = {false};
+        return response -> {
+            if (!delivered[0]) {
+                delivered[0] = true;
+                callback.accept(response);
             }
         };
     }
 
-    /** {@code late} is given where no majority has confirmed this node's view for a moment after now. */
-    static <T> Consumer<T> inContact(
-            final EventLoop loop, final ViewSynchronizer view, final Supplier<T> late, final Consumer<T> back) {
-        final long asked = loop.now();
-        final Consumer<T> first = once(back);
-        loop.schedule(CONTACT_TIMEOUT_MILLIS, () -> {
-            if (view.confirmedAt() < asked) {
-                first.accept(late.get());
+    /**
+     * {@code timeoutResponse} supplies the response if no majority has confirmed this node's view as of the time of the
+     * call or later.
+     */
+    static <T> Consumer<T> withDeadline(
+            final EventLoop loop,
+            final ViewSynchronizer view,
+            final Supplier<T> timeoutResponse,
+            final Consumer<T> callback) {
+        final long requestedAt = loop.now();
+        final Consumer<T> singleResponse = once(callback);
+        loop.schedule(RESPONSE_TIMEOUT_MILLIS, () -> {
+            if (view.confirmedAt() < requestedAt) {
+                singleResponse.accept(timeoutResponse.get());
             }
         });
-        return first;
+        return singleResponse;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/TombstoneCollector.java
@@ -16,10 +16,11 @@
 import org.rowanvalve.control.store.CollectionFloor;
 import org.rowanvalve.control.store.ItemStore;
 
-/** Runs at the leader: drops purges that no cached copy can be older than, and origins that ended long ago. */
+/** Collects purges that no cached copy can be older than, and origins that ended long ago. Runs on the leader. */
 public final class TombstoneCollector {
+    private static final long WRITE_TIMEOUT_MILLIS = 1000;
     private static final long ROUND_MS = 10_000;
-    private static final long SAFETY_MS = 60_000;
+    private static final long SAFETY_MARGIN_MS = 60_000;
     private static final int MIN_COLLECTED = 20;
     private final EventLoop loop;
     private final ItemStore items;
@@ -40,7 +41,7 @@
         this.isLeader = isLeader;
     }
 
-    /** Begins to look for what can be collected; only the leader does it. */
+    /** Starts the periodic collection, which only the leader carries out. */
     public void start() {
         loop.scheduleRepeatedly(ROUND_MS, this::collect);
     }
@@ -53,22 +54,22 @@
         if (!isLeader.getAsBoolean()) {
             return;
         }
-        final List<Item> all = items.all().stream().map(ChosenItem::item).toList();
+        final List<Item> allItems = items.all().stream().map(ChosenItem::item).toList();
         final long longestTtlMs = configuration.longestPurgeableTtlMs();
-        final CollectionFloor standingFloor = items.collectionFloor();
+        final CollectionFloor currentFloor = items.collectionFloor();
         final CollectionFloor nextFloor = new CollectionFloor(
                 floorOf(
-                        all,
+                        allItems,
                         ItemKind.PURGE,
-                        standingFloor.purges(),
-                        item -> ageMs(item) > longestTtlMs + longestTtlMs / 4 + SAFETY_MS),
-                floorOf(all, ItemKind.ORIGIN, standingFloor.origins(), this::isExpired));
-        if (!nextFloor.equals(standingFloor)) {
+                        currentFloor.purges(),
+                        item -> ageMs(item) > longestTtlMs + longestTtlMs / 4 + SAFETY_MARGIN_MS),
+                floorOf(allItems, ItemKind.ORIGIN, currentFloor.origins(), this::isExpired));
+        if (!nextFloor.equals(currentFloor)) {
             final String writeId = "sweep-" + nextFloor.purges() + "-" + nextFloor.origins() + "-" + loop.now();
             proposer.propose(
                     CollectionFloor.ID,
                     writeId,
-                    1000,
+                    WRITE_TIMEOUT_MILLIS,
                     current -> {
                         final CollectionFloor floor = CollectionFloor.of(current);
                         return Optional.of(current.successor(
@@ -79,21 +80,24 @@
                                         Math.max(floor.origins(), nextFloor.origins()))),
                                 writeId));
                     },
-                    r -> {});
+                    result -> {});
         }
     }
 
     private boolean isExpired(final Item item) {
         final Origin origin = item.exists() ? Json.read(item.body(), Origin.class) : null;
         final long ttlMs = origin == null ? 0 : origin.ttlMs();
-        return (origin == null || ttlMs > 0 || origin.draining()) && ageMs(item) > ttlMs + ttlMs / 4 + SAFETY_MS;
+        return (origin == null || ttlMs > 0 || origin.draining()) && ageMs(item) > ttlMs + ttlMs / 4 + SAFETY_MARGIN_MS;
     }
 
-    /** The highest version under all that must stay; unchanged while too few would go. */
+    /**
+     * The highest version below every version that must be kept; the current floor if fewer than {@link #MIN_COLLECTED}
+     * items would be collected.
+     */
     private static long floorOf(
-            final List<Item> all, final ItemKind kind, final long standingFloor, final Predicate<Item> expired) {
+            final List<Item> allItems, final ItemKind kind, final long currentFloor, final Predicate<Item> expired) {
         final List<Item> ofKind =
-                all.stream().filter(item -> item.id().kind() == kind).toList();
+                allItems.stream().filter(item -> item.id().kind() == kind).toList();
         final long lowestKept = ofKind.stream()
                 .filter(expired.negate())
                 .mapToLong(item -> item.version().number())
@@ -103,10 +107,10 @@
                 .filter(item -> item.version().number() < lowestKept)
                 .toList();
         return collected.size() < MIN_COLLECTED
-                ? standingFloor
+                ? currentFloor
                 : collected.stream()
                         .mapToLong(item -> item.version().number())
                         .max()
-                        .orElse(standingFloor);
+                        .orElse(currentFloor);
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateSequencer.java
@@ -18,19 +18,20 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * Takes updates into the ledger, several in one write, and then writes their items. Any node may do so at any time: the
- * ledger's ballots decide, and an item is only ever written as the ledger says.
+ * Records updates in the ledger, several in one write, and then writes their items. Any node may do so at any time: the
+ * ballots of the ledger's register decide between concurrent writers, and an item is only ever written as the ledger
+ * prescribes.
  */
 final class UpdateSequencer {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
-    /** An update that nobody has completed for this time is completed by another node. */
+    /** Time after which an update that is still incomplete is completed by another node. */
     private static final long TAKEOVER_MS = 500;
 
     private static final long RANK_DELAY_MS = 250;
     private static final long ROUND_MS = 250;
     private static final long PROGRESS_CHECK_MS = 50;
-    /** Bodies that were written are removed from the ledger by a write of its own when they are this large together. */
-    private static final int LARGE_BODY_CHARS = 8192;
+    /** If the ledger is longer than this, bodies that have been written are removed from it by a separate write. */
+    private static final int LARGE_LEDGER_CHARS = 8192;
 
     private final EventLoop loop;
     private final ItemStore items;
@@ -52,9 +53,9 @@
     private static final class PendingUpdate {
         private final ConfigurationUpdate update;
         private final Consumer<Judgement> callback;
-        /** The ledger that this node has proposed last takes the update. */
-        private boolean takenHere;
-        /** It was left out of that ledger, since the configuration would be too large with it. */
+        /** Whether the ledger that this node proposed last records the update. */
+        private boolean recordedHere;
+        /** Whether the update was left out of that ledger because the configuration would become too large. */
         private boolean exceedsLimit;
 
         PendingUpdate(final ConfigurationUpdate update, final Consumer<Judgement> callback) {
@@ -72,9 +73,10 @@
     }
 
     /**
-     * {@code viewIsFresh}: whether this node's view is confirmed, without which nothing new is taken; {@code settled}:
-     * items that every confirmed view contains in the version known here, so that the ledger need not name them;
-     * {@code maxConfigurationBytes}: no update is taken that grows what operators have defined beyond it.
+     * {@code viewIsFresh}: whether this node's view is confirmed; without a confirmed view nothing new is recorded.
+     * {@code settled}: the items that every confirmed view contains in the version known here, so that the ledger need
+     * not contain them. {@code maxConfigurationBytes}: an update that makes the configuration grow beyond this size is
+     * rejected.
      */
     UpdateSequencer(
             final EventLoop loop,
@@ -94,22 +96,25 @@
         this.writer = new ItemWriter(items, proposer, writeIds);
     }
 
-    /** From now on this node completes what others leave open; {@code rank} spreads several nodes in time. */
+    /**
+     * From now on this node completes updates that other nodes have left incomplete; {@code rank} staggers the nodes in
+     * time.
+     */
     void start(final int rank) {
         loop.scheduleRepeatedly(ROUND_MS, () -> finishOpenUpdates(TAKEOVER_MS + rank * RANK_DELAY_MS));
     }
 
     /**
-     * The verdict {@link UpdateVerdict#TAKEN} is given once every item of the update is chosen; {@link
-     * UpdateVerdict#NEW} is never given.
+     * Calls back with {@link UpdateVerdict#TAKEN} once every item of the update is chosen, and never with {@link
+     * UpdateVerdict#NEW}.
      */
     void submit(final ConfigurationUpdate update, final Consumer<Judgement> callback) {
         queue.add(new PendingUpdate(update, callback));
         writeNextBatch();
     }
 
-    /** Whether the ledger is known to contain all of an update. */
-    boolean isTaken(final ConfigurationUpdate update) {
+    /** Whether this node knows that the ledger records the whole update. */
+    boolean isRecorded(final ConfigurationUpdate update) {
         return learnedLedger().judge(update, items).verdict() == UpdateVerdict.TAKEN;
     }
 
@@ -126,7 +131,7 @@
                 ItemId.LEDGER,
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
-                now -> Optional.of(nextLedger(now, batch, writeId)),
+                current -> Optional.of(nextLedger(current, batch, writeId)),
                 result -> {
                     writing = false;
                     if (result.isAccepted()) {
@@ -142,52 +147,57 @@
     }
 
     /**
-     * The ledger with each update of the batch that can be taken; where there is none, the standing value itself. An
-     * update for which there is no room yet waits for its caller's next try: a value that is too large for a message
-     * could be chosen and never read again.
+     * The ledger with each update of the batch that can be recorded, or the current value itself if there is none. An
+     * update that does not fit yet has to wait until its client retries: a value that is too large for a message could
+     * be chosen and never read again.
      */
-    private Item nextLedger(final Item now, final List<PendingUpdate> batch, final String writeId) {
-        final UpdateLedger before = UpdateLedger.of(now);
+    private Item nextLedger(final Item current, final List<PendingUpdate> batch, final String writeId) {
+        final UpdateLedger before = UpdateLedger.of(current);
         UpdateLedger after = batch.isEmpty() ? before.withoutWritten(items::get) : before;
         for (final PendingUpdate pendingUpdate : batch) {
-            pendingUpdate.takenHere = false;
+            pendingUpdate.recordedHere = false;
             pendingUpdate.exceedsLimit = false;
             if (viewIsFresh.getAsBoolean()
                     && after.judge(pendingUpdate.update(), items).verdict() == UpdateVerdict.NEW) {
                 final UpdateLedger next = after.withoutWritten(items::get)
-                        .withTaken(pendingUpdate.update(), items)
+                        .withUpdate(pendingUpdate.update(), items)
                         .withoutSettled(items::get, settled);
                 pendingUpdate.exceedsLimit = exceedsLimit(after, next);
                 if (next.fits() && !pendingUpdate.exceedsLimit) {
-                    pendingUpdate.takenHere = true;
+                    pendingUpdate.recordedHere = true;
                     after = next;
                 }
             }
         }
         return after == before
-                ? now
-                : now.successor(after.withoutWritten(items::get).toJson(), writeId);
+                ? current
+                : current.successor(after.withoutWritten(items::get).toJson(), writeId);
     }
 
-    /** What makes the configuration no larger is taken in any case, so that a full one can be made smaller. */
+    /**
+     * An update that does not make the configuration larger is always allowed, so that a full configuration can be
+     * reduced.
+     */
     private boolean exceedsLimit(final UpdateLedger before, final UpdateLedger after) {
         final long growth = unwrittenGrowth(after);
         return growth > unwrittenGrowth(before) && items.configurationBytes() + growth > maxConfigurationBytes;
     }
 
-    /** By how much the configuration grows once all is written that the ledger leaves open, in bytes. */
-    private long unwrittenGrowth(final UpdateLedger open) {
-        return open.unwritten(items::get).entrySet().stream()
+    /** By how many bytes the configuration grows once everything that the ledger leaves unwritten is written. */
+    private long unwrittenGrowth(final UpdateLedger value) {
+        return value.unwritten(items::get).entrySet().stream()
                 .mapToLong(entry -> growth(items.get(entry.getKey()), entry.getValue()))
                 .sum();
     }
 
-    private static long growth(final Item standing, final ConfigurationUpdate.ItemUpdate itemUpdate) {
-        return itemUpdate.appliedTo(standing, "").approximateBytes()
-                - (standing.version().number() > 0 ? standing.approximateBytes() : 0);
+    private static long growth(final Item current, final ConfigurationUpdate.ItemUpdate itemUpdate) {
+        return itemUpdate.appliedTo(current, "").approximateBytes()
+                - (current.version().number() > 0 ? current.approximateBytes() : 0);
     }
 
-    /** Judged by the value that a majority has accepted, so no verdict rests on one that may yet be replaced. */
+    /**
+     * Uses the value that a majority has accepted, so that no verdict depends on a value that may still be replaced.
+     */
     private void decide(final UpdateLedger chosen, final PendingUpdate pendingUpdate) {
         final Judgement judgement = chosen.judge(pendingUpdate.update(), items);
         switch (judgement.verdict()) {
@@ -195,7 +205,7 @@
                 writeItems(
                         chosen,
                         pendingUpdate.update().updates().keySet(),
-                        pendingUpdate.takenHere,
+                        pendingUpdate.recordedHere,
                         ok -> pendingUpdate
                                 .callback()
                                 .accept(Judgement.of(ok ? UpdateVerdict.TAKEN : UpdateVerdict.UNDECIDED)));
@@ -211,31 +221,35 @@
     }
 
     /**
-     * The callback gets true once each of these items is chosen as the ledger says. What another node is writing is left
-     * to it for as long as it comes on, where it is much: two that write the same items hold each other up.
+     * Calls back with true once each of these items is chosen as the ledger prescribes. A large number of items that
+     * another node is writing is left to that node as long as it makes progress, since two nodes that write the same
+     * items delay each other.
      */
     private void writeItems(
             final UpdateLedger chosen,
             final Collection<ItemId> ids,
-            final boolean takenHere,
+            final boolean recordedHere,
             final Consumer<Boolean> callback) {
         final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = chosen.unwritten(items::get);
         unwritten.keySet().retainAll(ids);
-        if (takenHere || unwritten.size() <= ItemWriter.MAX_CONCURRENT_WRITES || !isProgressing(TAKEOVER_MS)) {
+        if (recordedHere || unwritten.size() <= ItemWriter.MAX_CONCURRENT_WRITES || !isProgressing(TAKEOVER_MS)) {
             writer.write(unwritten, callback);
         } else {
             loop.schedule(PROGRESS_CHECK_MS, () -> writeItems(chosen, ids, false, callback));
         }
     }
 
-    /** Whether the ledger, or an item that it leaves to be written, was learned less than {@code patienceMs} ago. */
-    private boolean isProgressing(final long patienceMs) {
+    /**
+     * Whether this node has learned the ledger, or an item that the ledger leaves unwritten, less than {@code
+     * timeoutMs} ago.
+     */
+    private boolean isProgressing(final long timeoutMs) {
         final int unwritten = learnedLedger().unwritten(items::get).size();
         if (unwritten < unwrittenCount) {
             progressAt = loop.now();
         }
         unwrittenCount = unwritten;
-        return loop.now() - Math.max(progressAt, ledgerLearnedAt) < patienceMs;
+        return loop.now() - Math.max(progressAt, ledgerLearnedAt) < timeoutMs;
     }
 
     /** The ledger as this node has learned it. */
@@ -249,25 +263,25 @@
         return ledger;
     }
 
-    private void finishOpenUpdates(final long patienceMs) {
-        final UpdateLedger now = learnedLedger();
-        if (now.openUpdates().isEmpty() || loop.now() - ledgerLearnedAt < patienceMs) {
+    private void finishOpenUpdates(final long timeoutMs) {
+        final UpdateLedger current = learnedLedger();
+        if (current.openUpdates().isEmpty() || loop.now() - ledgerLearnedAt < timeoutMs) {
             return;
         }
-        final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = now.unwritten(items::get);
-        if (unwritten.size() > ItemWriter.MAX_CONCURRENT_WRITES && isProgressing(patienceMs)) {
+        final Map<ItemId, ConfigurationUpdate.ItemUpdate> unwritten = current.unwritten(items::get);
+        if (unwritten.size() > ItemWriter.MAX_CONCURRENT_WRITES && isProgressing(timeoutMs)) {
             return;
         }
         unwritten.keySet().removeIf(writer::isWriting);
         writer.write(unwritten, ok -> {});
     }
 
-    /** Large bodies that stand do not stay in the ledger until the next call. */
+    /** Removes large bodies that have been written from the ledger without waiting for the next update. */
     private void scheduleCleanUp(final Item chosen) {
-        if (chosen.body().length() > LARGE_BODY_CHARS) {
+        if (chosen.body().length() > LARGE_LEDGER_CHARS) {
             loop.schedule(TAKEOVER_MS, () -> {
-                final UpdateLedger now = learnedLedger();
-                cleanUpDue = now.withoutWritten(items::get) != now;
+                final UpdateLedger current = learnedLedger();
+                cleanUpDue = current.withoutWritten(items::get) != current;
                 writeNextBatch();
             });
         }
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -31,22 +31,26 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 
 /**
- * Operators' updates under versions of their own: items set and dropped, objects purged, the configuration read back.
- * Every response rests on a majority that was asked after the update arrived; without one it is 503, with the time
- * after which to retry.
+ * Operators' updates under versions that the operators choose: setting and deleting items, purging objects and reading
+ * the configuration. Every response is based on a majority that was contacted after the request arrived; without a
+ * majority the response is 503 with the time after which to retry.
  */
 public final class UpdateService {
     private static final long WRITE_TIMEOUT_MILLIS = 2500;
-    private static final long CONTACT_TIMEOUT_MILLIS = 700;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 700;
     /**
-     * After this time without an answer from the preferred node an update is taken here, unless it is known as taken.
+     * Time without a response from the preferred sequencer after which this node processes an update itself, unless the
+     * update is known to be recorded.
      */
     private static final long FORWARD_TIMEOUT_MILLIS = 500;
 
     private static final long RETRY_AFTER_MS = 500;
-    /** After this time without an answer callers ask another node. */
-    private static final long CALLER_PATIENCE_MS = 1000;
-    /** A multiple of the age of a confirmed view, for clocks that differ in speed and settings that differ for a while. */
+    /** Clients try another node after this time without a response. */
+    private static final long CLIENT_TIMEOUT_MS = 1000;
+    /**
+     * A multiple of the maximum age of a confirmed view; allows for clocks that run at different speeds and for
+     * settings that differ between nodes for a while.
+     */
     private static final int SETTLING_VIEW_AGES = 4;
 
     private final EventLoop loop;
@@ -61,8 +65,8 @@
     private final UpdateLimits limits;
 
     /**
-     * {@code preferredSequencer}: the node that should sequence updates, where it is another one that is heard from;
-     * {@code limits}: the sizes up to which updates are taken.
+     * {@code preferredSequencer}: the node that should sequence updates, if it is another node that this node is in
+     * contact with; {@code limits}: the maximum sizes of updates.
      */
     public UpdateService(
             final EventLoop loop,
@@ -94,8 +98,8 @@
     }
 
     /**
-     * From now on updates that were taken and left half written are completed here; {@code rank} spreads several nodes
-     * in time.
+     * From now on this node completes updates that were recorded but only partly written; {@code rank} staggers the
+     * nodes in time.
      */
     public void start(final int rank) {
         sequencer.start(rank);
@@ -106,9 +110,9 @@
     }
 
     /**
-     * 200 once every item of the update stands at a majority, synced; the same update again is 200 for as long as its
-     * versions are remembered. 409 where a version was taken with another body: nothing of the update has taken effect,
-     * or ever will.
+     * Responds with 200 once a majority has synced every item of the update to disk; the same update yields 200 again
+     * for as long as its versions are recorded. Responds with 409 if a version was recorded with a different body: no
+     * part of such an update has taken effect or ever will.
      */
     public void apply(final byte[] data, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
@@ -118,7 +122,7 @@
         }
     }
 
-    /** The same for an update that was read before, in another thread. */
+    /** Applies an update that was read before, possibly by another thread. */
     public void apply(final ReceivedUpdate received, final Consumer<ApiResponse> callback) {
         applyJournaled(received, response -> {
             if (response.isRefusal()) {
@@ -140,49 +144,51 @@
                             + received.encodedBytes() + ": send them in several calls",
                     callback);
         } else {
-            submit(received.update(), received.data(), inContact(callback));
+            submit(received.update(), received.data(), withDeadline(callback));
         }
     }
 
-    /** 422 after a majority has answered, so that a partitioned node rejects no update for good. */
+    /**
+     * Responds with 422 only after a majority has answered, so that a partitioned node rejects no update permanently.
+     */
     public void refuseInvalid(final List<ValidationError> errors, final Consumer<ApiResponse> callback) {
         refuse(ApiResponse.invalid(errors), callback);
     }
 
-    /** Rejects with this status and reason, in contact with a majority only; else the response is 503. */
+    /** Responds with this status and reason if a majority answers, otherwise with 503. */
     public void refuse(final int status, final String reason, final Consumer<ApiResponse> callback) {
         refuse(new ApiResponse(status, ApiResponse.members("fate", "refused", "reason", reason)), callback);
     }
 
-    /** Rejects for good, but only in contact with a majority. */
+    /** Rejects a request permanently, but only in contact with a majority. */
     private void refuse(final ApiResponse refusal, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
                     loop.now(),
-                    CONTACT_TIMEOUT_MILLIS,
+                    CONFIRMATION_TIMEOUT_MILLIS,
                     ok -> callback.accept(ok ? refusal : unavailable("no majority answered")));
         } else {
             callback.accept(unavailable("this node's frame is not confirmed"));
         }
     }
 
-    private Consumer<ApiResponse> inContact(final Consumer<ApiResponse> callback) {
-        return ResponseDeadline.inContact(loop, view, () -> unavailable("no majority answered in time"), callback);
+    private Consumer<ApiResponse> withDeadline(final Consumer<ApiResponse> callback) {
+        return ResponseDeadline.withDeadline(loop, view, () -> unavailable("no majority answered in time"), callback);
     }
 
     /**
-     * Has the update taken at the preferred node, so that several are one write; where that one does not answer in
-     * time, here too.
+     * Forwards the update to the preferred sequencer, so that several updates share one write. If the sequencer does
+     * not respond in time, this node processes the update as well.
      */
-    private void submit(final ConfigurationUpdate patch, final byte[] data, final Consumer<ApiResponse> callback) {
+    private void submit(final ConfigurationUpdate update, final byte[] data, final Consumer<ApiResponse> callback) {
         final long receivedAt = loop.now();
         final Consumer<Judgement> decision =
-                ResponseDeadline.once(judgement -> respond(patch, receivedAt, judgement, callback));
+                ResponseDeadline.once(judgement -> respond(update, receivedAt, judgement, callback));
         final boolean[] submittedHere = {false};
         final Runnable local = () -> {
             if (!submittedHere[0]) {
                 submittedHere[0] = true;
-                sequencer.submit(patch, decision);
+                sequencer.submit(update, decision);
             }
         };
         final Optional<NodeId> sequencerNode = preferredSequencer.get();
@@ -191,7 +197,7 @@
             return;
         }
         loop.schedule(FORWARD_TIMEOUT_MILLIS, () -> {
-            if (!sequencer.isTaken(patch)) {
+            if (!sequencer.isRecorded(update)) {
                 local.run();
             }
         });
@@ -206,13 +212,13 @@
                         .ifPresentOrElse(decision, local));
     }
 
-    /** An update that another node has received. */
+    /** Processes an update that another node has received and forwarded. */
     public void onForwarded(final UpdateForwardRequest request, final Consumer<Message> callback) {
         final List<ValidationError> errors = new ArrayList<>();
-        final ConfigurationUpdate patch = ConfigurationUpdate.read(request.update(), errors);
+        final ConfigurationUpdate update = ConfigurationUpdate.read(request.update(), errors);
         if (errors.isEmpty()) {
             sequencer.submit(
-                    patch,
+                    update,
                     judgement -> callback.accept(
                             judgement.verdict() == UpdateVerdict.CONFIGURATION_FULL
                                     ? new RejectedResponse("the configuration would be too large")
@@ -232,14 +238,14 @@
     }
 
     private void respond(
-            final ConfigurationUpdate patch,
+            final ConfigurationUpdate update,
             final long receivedAt,
             final Judgement judgement,
             final Consumer<ApiResponse> callback) {
         switch (judgement.verdict()) {
-            case TAKEN -> callback.accept(ApiResponse.done("items", standingVersions(patch)));
+            case TAKEN -> callback.accept(ApiResponse.done("items", currentVersions(update)));
             case CONFLICT -> callback.accept(ApiResponse.conflict(judgement.item(), judgement.version()));
-            case INVALID_REFERENCE -> recheckReferences(patch, receivedAt, callback);
+            case INVALID_REFERENCE -> recheckReferences(update, receivedAt, callback);
             case CONFIGURATION_FULL ->
                 refuse(
                         413,
@@ -251,9 +257,9 @@
         }
     }
 
-    private Map<String, Object> standingVersions(final ConfigurationUpdate patch) {
+    private Map<String, Object> currentVersions(final ConfigurationUpdate update) {
         final Map<String, Object> done = new TreeMap<>();
-        patch.updates()
+        update.updates()
                 .forEach((id, itemUpdate) -> done.put(
                         id.kind().label() + "/" + id.name(),
                         Math.max(
@@ -263,20 +269,21 @@
     }
 
     /**
-     * What the update names may have been declared at another node: judged once more by a view confirmed since. A caller
-     * that has waited for long may have sent it to another node, where it may be valid by now.
+     * A service that the update refers to may have been declared at another node, so the references are checked again
+     * against a view that is confirmed after the first check. A client that has waited for long may have sent the
+     * update to another node, where it may be valid by now.
      */
     private void recheckReferences(
-            final ConfigurationUpdate patch, final long receivedAt, final Consumer<ApiResponse> callback) {
-        view.awaitConfirmation(loop.now(), CONTACT_TIMEOUT_MILLIS, ok -> {
+            final ConfigurationUpdate update, final long receivedAt, final Consumer<ApiResponse> callback) {
+        view.awaitConfirmation(loop.now(), CONFIRMATION_TIMEOUT_MILLIS, ok -> {
             if (!ok) {
                 callback.accept(unavailable("no majority answered"));
                 return;
             }
-            sequencer.submit(patch, judgement -> {
+            sequencer.submit(update, judgement -> {
                 if (judgement.verdict() != UpdateVerdict.INVALID_REFERENCE) {
-                    respond(patch, receivedAt, judgement, callback);
-                } else if (loop.now() - receivedAt > CALLER_PATIENCE_MS) {
+                    respond(update, receivedAt, judgement, callback);
+                } else if (loop.now() - receivedAt > CLIENT_TIMEOUT_MS) {
                     callback.accept(unavailable("the references were judged too late"));
                 } else {
                     callback.accept(ApiResponse.invalid(judgement.errors()));
@@ -286,15 +293,15 @@
     }
 
     /**
-     * Purges a host's path or a tag; each call is a version of its own, so that what was filled since the last one goes
-     * too.
+     * Purges a path of a host or a tag. Each request creates a new version, so that objects cached since the previous
+     * purge are purged as well.
      */
     public void purge(final Purge purge, final Consumer<ApiResponse> callback) {
         if (!view.isFresh()) {
             callback.accept(unavailable("this node's frame is not confirmed"));
             return;
         }
-        final Consumer<ApiResponse> once = inContact(callback);
+        final Consumer<ApiResponse> singleResponse = withDeadline(callback);
         final String name = (purge.tag() != null ? "t." : "h.")
                 + Long.toHexString(Hash.hash64(purge.tag() != null ? purge.tag() : purge.host() + "|" + purge.path()));
         final ItemId id = new ItemId(ItemKind.PURGE, name);
@@ -304,39 +311,43 @@
                 id,
                 writeId,
                 WRITE_TIMEOUT_MILLIS,
-                now -> {
-                    final Item next = now.successor(body, writeId);
+                current -> {
+                    final Item next = current.successor(body, writeId);
                     return Optional.of(new Item(id, items.nextVersion(next), next.body(), false, writeId));
                 },
-                reply -> once.accept(
-                        reply.isAccepted()
+                result -> singleResponse.accept(
+                        result.isAccepted()
                                 ? ApiResponse.done(
                                         "item",
                                         "purge/" + name,
                                         "version",
-                                        reply.item().version().number())
+                                        result.item().version().number())
                                 : unavailable("no majority confirmed the purge")));
     }
 
-    /** The configuration as of a moment after the request: nothing accepted before is missing. */
+    /** The configuration as of a time after the request, so that no update accepted before the request is missing. */
     public void readAll(final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
-        readAll(ResponseDeadline.CONTACT_TIMEOUT_MILLIS, callback);
+        readAll(ResponseDeadline.RESPONSE_TIMEOUT_MILLIS, callback);
     }
 
-    /** The same with a time-out of its own, in ms; empty where no majority answered within it. */
+    /**
+     * As {@link #readAll(Consumer)}, with a time-out in ms; calls back with an empty result if no majority answers
+     * within the time-out.
+     */
     public void readAll(final long timeoutMs, final Consumer<Optional<Map<ItemKind, Map<String, Item>>>> callback) {
         view.awaitConfirmation(loop.now(), timeoutMs, ok -> {
             if (!ok) {
                 callback.accept(Optional.empty());
                 return;
             }
-            final Map<ItemKind, Map<String, Item>> all = new HashMap<>();
+            final Map<ItemKind, Map<String, Item>> itemsByKind = new HashMap<>();
             items.all().stream()
                     .map(ChosenItem::item)
                     .filter(item -> item.exists() && item.id().kind().isOperatorDefined())
-                    .forEach(item -> all.computeIfAbsent(item.id().kind(), kind -> new TreeMap<>())
+                    .forEach(item -> itemsByKind
+                            .computeIfAbsent(item.id().kind(), kind -> new TreeMap<>())
                             .put(item.id().name(), item));
-            callback.accept(Optional.of(all));
+            callback.accept(Optional.of(itemsByKind));
         });
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/operator/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The interface of operators and origins to the replicated state: single items, updates under the operator's own
- * versions, purges, heartbeats of origins, garbage collection of what has been dropped. Owns the update ledger, one
- * register that decides every update as a whole.
+ * The API of operators and origins to the replicated state: single items, updates under versions that the operators
+ * choose, purges, heartbeats of origins and garbage collection of deleted items. Contains the update ledger, a single
+ * register that decides on every update as a whole.
  *
  * <p>Depends on {@code control.config}, {@code control.consensus}, {@code control.json}, {@code control.store} and
  * {@code control.view}.
--- a/control/src/test/java/org/rowanvalve/control/json/JsonReaderTest.java
+++ b/control/src/test/java/org/rowanvalve/control/json/JsonReaderTest.java
@@ -23,15 +23,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.rowanvalve.common.model.ValidationError;
 
-/** What is no JSON text is refused, whatever stands before or after the fault. */
+/** The reader rejects every text that is not JSON, wherever the error is. */
 class JsonReaderTest {
-    private static final String CALL = """
+    private static final String UPDATE = """
             {"upsert":{"routes":{"columns":["name","cache_ttl_s","config_version","traffic_split"],
             "rows":[["r-\\u00e9\\n",2.50,"00000007",[{"weight":-1e+3},{"weight":0}]],["x",null,"0000000a",true]]}},
             "remove":{"routes":[{"name":"gone","config_version":"00000009"}]}, "u":"\\ud83d\\ude00é"}
 """;
 
     private static final long SEED = 4;
+    private static final int MAX_NUMBER_DIGITS = 40;
     private static final int MUTANTS_PER_KIND = 12_000;
 
     private static boolean isAccepted(final byte[] data) {
@@ -44,7 +45,7 @@
         return isAccepted(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Guards against text after the end that is taken for the end (review, case 4). */
+    /** Guards against text after the value that is mistaken for the end of the input (review, case 4). */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -75,13 +76,13 @@
                 "#",
                 "'"
             })
-    void textAfterTheValueIsRefused(final String after) {
-        for (final String value : List.of("{}", "{\"a\":[1]}", "[]", "1", "\"x\"", "true", "null", CALL)) {
+    void textAfterTheValueIsRejected(final String trailing) {
+        for (final String value : List.of("{}", "{\"a\":[1]}", "[]", "1", "\"x\"", "true", "null", UPDATE)) {
             assertTrue(isAccepted(value + " \t\r\n"), value);
-            assertFalse(isAccepted(value + " " + after), value + " " + after);
-            assertFalse(isAccepted(value + " \n" + after + " "), value + " " + after);
+            assertFalse(isAccepted(value + " " + trailing), value + " " + trailing);
+            assertFalse(isAccepted(value + " \n" + trailing + " "), value + " " + trailing);
         }
-        assertFalse(isAccepted(CALL.strip() + after), after);
+        assertFalse(isAccepted(UPDATE.strip() + trailing), trailing);
     }
 
     @ParameterizedTest
@@ -126,13 +127,13 @@
                 "\"\\udc00x\"",
                 "{\"\\ud800\":1}"
             })
-    void whatIsNoJsonIsRefused(final String text) {
+    void invalidJsonIsRejected(final String text) {
         assertFalse(isAccepted(text), text);
         assertFalse(isAccepted("{\"routes\":[" + text + "]") && !text.isBlank(), text);
     }
 
     @Test
-    void bytesThatAreNotUtf8AreRefused() {
+    void bytesThatAreNotUtf8AreRejected() {
         for (final int[] bytes : new int[][] {
             {0xc0, 0x80},
             {0xed, 0xa0, 0x80},
@@ -154,24 +155,27 @@
         assertFalse(isAccepted("{}".getBytes(StandardCharsets.UTF_16LE)));
     }
 
-    /** Sound texts with one byte added, cut, doubled or changed are taken just where a strict reader takes them. */
+    /**
+     * Valid texts with one byte added, removed, doubled or changed are accepted exactly if a strict parser accepts
+     * them.
+     */
     @Test
-    void mutantsAreTakenWhereAStrictReaderTakesThem() {
+    void mutatedTextsAreAcceptedExactlyIfAStrictParserAcceptsThem() {
         final Random random = new Random(SEED);
-        final byte[] sound = CALL.getBytes(StandardCharsets.UTF_8);
+        final byte[] valid = UPDATE.getBytes(StandardCharsets.UTF_8);
         final String alphabet = "{}[]:,\"\\ \n\t0123456789.-+eEtfn/u'x\u0000\u007f\u0080\u00ff";
         int accepted = 0;
         for (int i = 0; i < 4 * MUTANTS_PER_KIND; i++) {
-            final int at = random.nextInt(sound.length);
+            final int at = random.nextInt(valid.length);
             final byte other = random.nextBoolean()
                     ? (byte) alphabet.charAt(random.nextInt(alphabet.length()))
                     : (byte) random.nextInt(256);
             final byte[] mutant =
                     switch (i % 4) {
-                        case 0 -> spliced(sound, at, 0, other);
-                        case 1 -> spliced(sound, at, 1);
-                        case 2 -> spliced(sound, at, 0, sound[at]);
-                        default -> spliced(sound, at, 1, other);
+                        case 0 -> spliced(valid, at, 0, other);
+                        case 1 -> spliced(valid, at, 1);
+                        case 2 -> spliced(valid, at, 0, valid[at]);
+                        default -> spliced(valid, at, 1, other);
                     };
             final boolean expected = isStrictJson(mutant);
             accepted += expected ? 1 : 0;
@@ -188,7 +192,10 @@
                 .array();
     }
 
-    /** By another library's strict reader; members stated twice and half surrogate pairs are refused besides. */
+    /**
+     * The verdict of another library's strict parser; duplicate members and unpaired surrogates are rejected in
+     * addition.
+     */
     private static boolean isStrictJson(final byte[] data) {
         try {
             final String text = StandardCharsets.UTF_8
@@ -198,20 +205,20 @@
             final com.google.gson.stream.JsonReader reader =
                     new com.google.gson.stream.JsonReader(new StringReader(text));
             reader.setStrictness(Strictness.STRICT);
-            final boolean fit = walk(reader);
-            return reader.peek() == JsonToken.END_DOCUMENT && fit && !text.startsWith("\ufeff");
+            final boolean isValid = readValue(reader);
+            return reader.peek() == JsonToken.END_DOCUMENT && isValid && !text.startsWith("\ufeff");
         } catch (final IOException | JsonParseException | IllegalStateException | NumberFormatException e) {
             return false;
         }
     }
 
-    private static boolean walk(final com.google.gson.stream.JsonReader reader) throws IOException {
-        boolean fit = true;
+    private static boolean readValue(final com.google.gson.stream.JsonReader reader) throws IOException {
+        boolean isValid = true;
         switch (reader.peek()) {
             case BEGIN_ARRAY -> {
                 reader.beginArray();
                 while (reader.hasNext()) {
-                    fit &= walk(reader);
+                    isValid &= readValue(reader);
                 }
                 reader.endArray();
             }
@@ -220,26 +227,26 @@
                 reader.beginObject();
                 while (reader.hasNext()) {
                     final String name = reader.nextName();
-                    fit &= names.add(name) && isWhole(name);
-                    fit &= walk(reader);
+                    isValid &= names.add(name) && hasNoUnpairedSurrogate(name);
+                    isValid &= readValue(reader);
                 }
                 reader.endObject();
             }
-            case STRING -> fit = isWhole(reader.nextString());
-            case NUMBER -> fit = isInRange(reader.nextString());
+            case STRING -> isValid = hasNoUnpairedSurrogate(reader.nextString());
+            case NUMBER -> isValid = isInRange(reader.nextString());
             case BOOLEAN -> reader.nextBoolean();
             case NULL -> reader.nextNull();
             default -> throw new MalformedJsonException("no value");
         }
-        return fit;
+        return isValid;
     }
 
-    private static boolean isWhole(final String text) {
+    private static boolean hasNoUnpairedSurrogate(final String text) {
         return StandardCharsets.UTF_8.newEncoder().canEncode(text);
     }
 
     private static boolean isInRange(final String number) {
         final java.math.BigDecimal value = new java.math.BigDecimal(number);
-        return Math.abs((long) value.scale()) + value.precision() <= 40;
+        return Math.abs((long) value.scale()) + value.precision() <= MAX_NUMBER_DIGITS;
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/ConfigurationServiceTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/ConfigurationServiceTest.java
@@ -12,42 +12,42 @@
 import org.rowanvalve.control.config.ServiceKind;
 import org.rowanvalve.control.voting.VoterFixture;
 
-/** The product's own interface, for what came with hosts, tags and services of the open kind. */
+/** The API for single items with hosts, tags and services of the open kind. */
 class ConfigurationServiceTest {
-    private final VoterFixture net = new VoterFixture();
-    private final ConfigurationService clerk =
-            new ConfigurationService(net.loop, net.items, net.view, net.proposer, net.journal, net::tag);
-    private final List<ApiResponse> said = new ArrayList<>();
+    private final VoterFixture fixture = new VoterFixture();
+    private final ConfigurationService service = new ConfigurationService(
+            fixture.loop, fixture.items, fixture.view, fixture.proposer, fixture.journal, fixture::tag);
+    private final List<ApiResponse> responses = new ArrayList<>();
 
     private ApiResponse put(final ItemKind kind, final String name, final String body, final long version) {
-        said.clear();
-        clerk.putItem(new ItemId(kind, name), body.getBytes(StandardCharsets.UTF_8), version, null, said::add);
-        net.loop.run(100);
-        return said.get(0);
+        responses.clear();
+        service.putItem(new ItemId(kind, name), body.getBytes(StandardCharsets.UTF_8), version, null, responses::add);
+        fixture.loop.run(100);
+        return responses.get(0);
     }
 
     private ApiResponse announce(final ServiceKind kind) {
-        said.clear();
-        clerk.announceOrigin(
+        responses.clear();
+        service.announceOrigin(
                 "o1",
                 ("{\"service\":\"s\",\"kind\":\"" + kind + "\",\"host\":\"10.0.0.1\",\"port\":80,\"stamp\":\"x\"}")
                         .getBytes(StandardCharsets.UTF_8),
-                said::add);
-        net.loop.run(100);
-        return said.get(0);
+                responses::add);
+        fixture.loop.run(100);
+        return responses.get(0);
     }
 
     @Test
-    void aTagAndAHostsPathArePurgedByName() {
-        net.confirm();
+    void tagsAndHostPathsArePurgedByName() {
+        fixture.confirm();
         assertEquals(
                 200, put(ItemKind.PURGE, "perfume", "{\"tag\":\"perfume\"}", 0).status());
-        final long first = net.configuration.tagPurge("perfume").version();
+        final long first = fixture.configuration.tagPurge("perfume").version();
         assertTrue(first > 0);
         assertEquals(
                 200,
                 put(ItemKind.PURGE, "perfume", "{\"tag\":\"perfume\"}", first).status());
-        assertTrue(net.configuration.tagPurge("perfume").version() > first);
+        assertTrue(fixture.configuration.tagPurge("perfume").version() > first);
         put(ItemKind.SERVICE, "s", "{\"kind\":\"open\"}", 0);
         assertEquals(
                 200,
@@ -63,8 +63,8 @@
                         .status());
         assertEquals(
                 1,
-                net.configuration
-                        .versionsOf(net.configuration.route("h", "/x").orElseThrow(), "/x")
+                fixture.configuration
+                        .versionsOf(fixture.configuration.route("h", "/x").orElseThrow(), "/x")
                         .versions()
                         .size());
         assertEquals(422, put(ItemKind.PURGE, "two", "{\"host\":\"h\"}", 0).status());
@@ -74,16 +74,21 @@
     }
 
     @Test
-    void originsOfEveryKindOfServiceAreAnnounced() {
-        net.confirm();
+    void originsOfEveryServiceKindCanBeAnnounced() {
+        fixture.confirm();
         for (final ServiceKind kind : List.of(ServiceKind.OPEN, ServiceKind.BOOKING)) {
             put(
                     ItemKind.SERVICE,
                     "s",
                     "{\"kind\":\"" + kind + "\"}",
-                    net.items.get(new ItemId(ItemKind.SERVICE, "s")).version().number());
+                    fixture.items
+                            .get(new ItemId(ItemKind.SERVICE, "s"))
+                            .version()
+                            .number());
             assertEquals(200, announce(kind).status(), kind.code());
-            assertEquals(1, net.configuration.liveOrigins("s", net.loop.now()).size());
+            assertEquals(
+                    1,
+                    fixture.configuration.liveOrigins("s", fixture.loop.now()).size());
         }
         assertEquals(422, announce(ServiceKind.OPEN).status(), "the service is of another kind now");
     }
--- a/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
@@ -15,87 +15,88 @@
 import org.rowanvalve.control.json.Json;
 import org.rowanvalve.control.voting.VoterFixture;
 
-/** Origins that beat. */
+/** Registration of origins that send heartbeats. */
 class OriginRegistryTest {
     private static final ItemId ID = new ItemId(ItemKind.ORIGIN, "i1");
-    private final VoterFixture net = new VoterFixture();
-    private final OriginRegistry registry =
-            new OriginRegistry(net.loop, net.items, net.view, net.proposer, net.journal, net::tag);
-    private final List<ApiResponse> said = new ArrayList<>();
+    private final VoterFixture fixture = new VoterFixture();
+    private final OriginRegistry registry = new OriginRegistry(
+            fixture.loop, fixture.items, fixture.view, fixture.proposer, fixture.journal, fixture::tag);
+    private final List<ApiResponse> responses = new ArrayList<>();
 
-    private static Origin at(final long beat, final boolean leaving, final int slots, final long cold) {
-        return new Origin("s", "10.0.0.1", 80, "i1", ServiceKind.OPEN, 0, 0, leaving, beat, "r/z", slots, cold);
+    private static Origin origin(final long sequence, final boolean draining, final int slots, final long warmUpMs) {
+        return new Origin(
+                "s", "10.0.0.1", 80, "i1", ServiceKind.OPEN, 0, 0, draining, sequence, "r/z", slots, warmUpMs);
     }
 
-    private int beat(final Origin origin) {
-        said.clear();
-        registry.onHeartbeat("i1", origin, said::add);
-        net.loop.run(100);
-        return said.get(0).status();
+    private int sendHeartbeat(final Origin origin) {
+        responses.clear();
+        registry.onHeartbeat("i1", origin, responses::add);
+        fixture.loop.run(100);
+        return responses.get(0).status();
     }
 
-    private int end(final String name) {
-        said.clear();
-        registry.onEnd(name, said::add);
-        net.loop.run(100);
-        return said.get(0).status();
+    private int sendEnd(final String name) {
+        responses.clear();
+        registry.onEnd(name, responses::add);
+        fixture.loop.run(100);
+        return responses.get(0).status();
     }
 
-    private Origin stands() {
-        return Json.read(net.items.get(ID).body(), Origin.class);
+    private Origin registered() {
+        return Json.read(fixture.items.get(ID).body(), Origin.class);
     }
 
     @Test
-    void onlyAChangeIsWritten() {
-        net.confirm();
-        assertEquals(200, beat(at(1, false, 4, 3000)));
-        final int writes = net.written.size();
+    void onlyChangesAreWritten() {
+        fixture.confirm();
+        assertEquals(200, sendHeartbeat(origin(1, false, 4, 3000)));
+        final int writes = fixture.written.size();
         assertTrue(writes > 0);
-        assertEquals(200, beat(at(2, false, 4, 1500)));
-        assertEquals(200, beat(at(3, false, 4, 0)));
-        assertEquals(writes, net.written.size(), "beats without news are not written");
+        assertEquals(200, sendHeartbeat(origin(2, false, 4, 1500)));
+        assertEquals(200, sendHeartbeat(origin(3, false, 4, 0)));
+        assertEquals(writes, fixture.written.size(), "heartbeats without a change are not written");
         assertEquals(0, registry.agesMs().get(ID) - 100);
-        assertEquals(200, beat(at(4, false, 8, 0)));
-        assertEquals(8, stands().slots());
-        assertTrue(net.written.size() > writes);
+        assertEquals(200, sendHeartbeat(origin(4, false, 8, 0)));
+        assertEquals(8, registered().slots());
+        assertTrue(fixture.written.size() > writes);
     }
 
     @Test
-    void aLateBeatChangesNothingAndOneThatLeavesDoesNotComeBack() {
-        net.confirm();
-        beat(at(5, false, 4, 0));
-        assertEquals(200, beat(at(4, true, 4, 0)), "sent before the one that stands");
-        assertFalse(stands().draining());
-        assertEquals(200, beat(at(6, true, 4, 0)));
-        assertTrue(net.configuration.liveOrigins("s", net.loop.now()).isEmpty());
-        assertEquals(200, beat(at(7, false, 4, 0)));
-        assertTrue(stands().draining());
-        final int writes = net.written.size();
-        assertEquals(200, end("i1"));
-        assertEquals(writes, net.written.size(), "leaving is for good already");
+    void lateHeartbeatChangesNothingAndOriginThatLeftCannotReturn() {
+        fixture.confirm();
+        sendHeartbeat(origin(5, false, 4, 0));
+        assertEquals(200, sendHeartbeat(origin(4, true, 4, 0)), "sent before the registered one");
+        assertFalse(registered().draining());
+        assertEquals(200, sendHeartbeat(origin(6, true, 4, 0)));
+        assertTrue(fixture.configuration.liveOrigins("s", fixture.loop.now()).isEmpty());
+        assertEquals(200, sendHeartbeat(origin(7, false, 4, 0)));
+        assertTrue(registered().draining());
+        final int writes = fixture.written.size();
+        assertEquals(200, sendEnd("i1"));
+        assertEquals(writes, fixture.written.size(), "the leave was permanent already");
     }
 
     @Test
-    void oneThatEndsIsGoneAndAnUnknownOneNeedsNothing() {
-        net.confirm();
-        beat(at(5, false, 4, 0));
-        assertEquals(200, end("i1"));
-        assertTrue(stands().draining());
-        assertEquals(200, beat(at(9, false, 4, 0)), "a beat that was under way");
-        assertTrue(net.configuration.liveOrigins("s", net.loop.now()).isEmpty());
-        assertEquals(200, end("i2"));
-        assertTrue(net.items.get(new ItemId(ItemKind.ORIGIN, "i2")).deleted());
+    void endedOriginIsNotLiveAndEndOfUnknownOriginChangesNothing() {
+        fixture.confirm();
+        sendHeartbeat(origin(5, false, 4, 0));
+        assertEquals(200, sendEnd("i1"));
+        assertTrue(registered().draining());
+        assertEquals(200, sendHeartbeat(origin(9, false, 4, 0)), "a heartbeat that was in flight");
+        assertTrue(fixture.configuration.liveOrigins("s", fixture.loop.now()).isEmpty());
+        assertEquals(200, sendEnd("i2"));
+        assertTrue(fixture.items.get(new ItemId(ItemKind.ORIGIN, "i2")).deleted());
     }
 
     @Test
-    void nothingIsAcknowledgedWithoutAFrameOrAMajority() {
-        assertEquals(503, beat(at(1, false, 4, 0)));
-        assertEquals(503, end("i1"));
-        net.confirm();
-        net.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
-        said.clear();
-        registry.onHeartbeat("i1", at(1, true, 4, 0), said::add);
-        net.loop.run(2000);
-        assertEquals(List.of(503), said.stream().map(ApiResponse::status).toList());
+    void nothingIsAcknowledgedWithoutAConfirmedViewOrAMajority() {
+        assertEquals(503, sendHeartbeat(origin(1, false, 4, 0)));
+        assertEquals(503, sendEnd("i1"));
+        fixture.confirm();
+        fixture.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
+        responses.clear();
+        registry.onHeartbeat("i1", origin(1, true, 4, 0), responses::add);
+        fixture.loop.run(2000);
+        assertEquals(List.of(503), responses.stream().map(ApiResponse::status).toList());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateCluster.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateCluster.java
@@ -50,26 +50,28 @@
 import org.rowanvalve.control.voting.StoreHealth;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** Five processes that take orders, three of them voters with disks, on virtual time; any may end at any message. */
+/**
+ * Five nodes that accept updates, three of them voters with disks, on virtual time; any node may crash at any message.
+ */
 final class UpdateCluster {
     static final List<NodeId> IDS =
             List.of("n0", "n1", "n2", "n3", "n4").stream().map(NodeId::of).toList();
     private static final List<NodeId> VOTERS = IDS.subList(0, 3);
-    private static final long SYNC = 2;
+    private static final long SYNC_MS = 2;
 
     final VirtualTimeLoop loop = new VirtualTimeLoop();
     final Random random;
-    /** Every item that was in force anywhere, as {@code ITEM VERSION NOTE}. */
-    final Set<String> seen = new HashSet<>();
+    /** Every service version that any node has learned as chosen, as {@code ITEM VERSION NOTE}. */
+    final Set<String> observed = new HashSet<>();
 
-    private final Map<NodeId, Machine> machines = new TreeMap<>();
+    private final Map<NodeId, Node> nodes = new TreeMap<>();
     private final Map<NodeId, Map<String, byte[]>> disks = new HashMap<>();
-    private final Set<NodeId> cut = new HashSet<>();
+    private final Set<NodeId> partitioned = new HashSet<>();
     private Optional<NodeId> preferred = Optional.empty();
     private double loss;
     private int boots;
     private UpdateLimits limits;
-    private int largestQuestionBytes;
+    private int largestRequestBytes;
 
     UpdateCluster(final long seed) {
         this(seed, UpdateLimits.DEFAULTS);
@@ -82,94 +84,94 @@
         loop.run(4000);
     }
 
-    void prefer(final NodeId id) {
+    void setPreferredSequencer(final NodeId id) {
         preferred = Optional.of(id);
     }
 
-    /** A part of all messages, and as many answers, are lost. */
-    void lose(final double part) {
-        loss = part;
+    /** The fraction of requests, and likewise of responses, that are lost. */
+    void setLossRate(final double fraction) {
+        loss = fraction;
     }
 
-    void cut(final NodeId id) {
-        cut.add(id);
+    void partition(final NodeId id) {
+        partitioned.add(id);
     }
 
-    void heal() {
-        cut.clear();
+    void healPartition() {
+        partitioned.clear();
     }
 
     void start(final NodeId id) {
-        final Machine machine = new Machine(id, ++boots);
-        machines.put(id, machine);
-        machine.start();
+        final Node node = new Node(id, ++boots);
+        nodes.put(id, node);
+        node.start();
     }
 
-    /** All processes start anew, at once, with these limits. */
+    /** Restarts all nodes at once with these limits. */
     void restart(final UpdateLimits next) {
         limits = next;
-        IDS.forEach(this::end);
+        IDS.forEach(this::crash);
         IDS.forEach(this::start);
         loop.run(6000);
     }
 
-    boolean alive(final NodeId id) {
-        return machines.get(id).alive;
+    boolean isAlive(final NodeId id) {
+        return nodes.get(id).alive;
     }
 
-    void end(final NodeId id) {
-        machines.get(id).alive = false;
+    void crash(final NodeId id) {
+        nodes.get(id).alive = false;
     }
 
-    /** The process ends in place of its {@code n}-th message from now on. */
-    void endAt(final NodeId id, final int n) {
-        machines.get(id).left = n;
+    /** The node crashes instead of sending its {@code n}-th message from now on. */
+    void crashAtMessage(final NodeId id, final int n) {
+        nodes.get(id).messagesUntilCrash = n;
     }
 
     int messages(final NodeId id) {
-        return machines.get(id).sent;
+        return nodes.get(id).sent;
     }
 
-    /** The largest question for items that any process has asked since the last call. */
-    int takeLargestQuestionBytes() {
-        final int largest = largestQuestionBytes;
-        largestQuestionBytes = 0;
+    /** The size of the largest request for missing items that any node has sent since the last call, in bytes. */
+    int takeLargestRequestBytes() {
+        final int largest = largestRequestBytes;
+        largestRequestBytes = 0;
         return largest;
     }
 
     Item item(final NodeId at, final ItemId id) {
-        return machines.get(at).items.get(id);
+        return nodes.get(at).items.get(id);
     }
 
-    /** How many disks have an item. */
-    long disks(final ItemId id) {
+    /** The number of disks that contain the item. */
+    long diskCount(final ItemId id) {
         return disks.values().stream()
-                .filter(d -> d.containsKey("e/" + id.text()))
+                .filter(disk -> disk.containsKey("e/" + id.text()))
                 .count();
     }
 
-    UpdateService orders(final NodeId at) {
-        return machines.get(at).orders;
+    UpdateService updateService(final NodeId at) {
+        return nodes.get(at).updateService;
     }
 
     OriginRegistry registry(final NodeId at) {
-        return machines.get(at).registry;
+        return nodes.get(at).registry;
     }
 
-    /** Hears the status, unless the process ends first. */
-    void patch(final NodeId at, final String text, final IntConsumer then) {
-        final Machine machine = machines.get(at);
-        if (machine.alive) {
-            machine.orders.apply(text.getBytes(StandardCharsets.UTF_8), r -> {
-                if (machine.alive) {
-                    then.accept(r.status());
+    /** Sends an update; the callback gets the status unless the node crashes first. */
+    void sendUpdate(final NodeId at, final String text, final IntConsumer callback) {
+        final Node node = nodes.get(at);
+        if (node.alive) {
+            node.updateService.apply(text.getBytes(StandardCharsets.UTF_8), response -> {
+                if (node.alive) {
+                    callback.accept(response.status());
                 }
             });
         }
     }
 
-    /** A call that sets services of these names, each with the note, under one version. */
-    static String call(final long version, final String note, final String... names) {
+    /** An update that sets services of these names, each with the note, under one version. */
+    static String setServices(final long version, final String note, final String... names) {
         final Map<String, Object> services = new TreeMap<>();
         for (final String n : names) {
             services.put(n, Map.of("kind", "open", "note", note, "version", version));
@@ -185,32 +187,32 @@
         return item.exists() ? Json.read(item.body(), Service.class).note() : "gone";
     }
 
-    private void inForce(final Item item) {
+    private void recordObserved(final Item item) {
         if (item.id().kind() == ItemKind.SERVICE) {
-            seen.add(item.id().name() + " " + item.version().number() + " " + note(item));
+            observed.add(item.id().name() + " " + item.version().number() + " " + note(item));
         }
     }
 
-    /** One process: its timers and messages end with it, its disk stays. */
-    private final class Machine implements EventLoop, Transport, StableStorage {
+    /** One node: its timers and messages end with the process, its disk is kept. */
+    private final class Node implements EventLoop, Transport, StableStorage {
         private final NodeId id;
         private final ItemStore items;
         private final ViewSynchronizer view;
-        private final UpdateService orders;
+        private final UpdateService updateService;
         private final OriginRegistry registry;
         private final Acceptor acceptor;
-        private final ViewServer desk;
+        private final ViewServer viewServer;
         private final UnfinishedWriteRecovery recovery;
         private boolean alive = true;
-        private int left = Integer.MAX_VALUE;
+        private int messagesUntilCrash = Integer.MAX_VALUE;
         private int sent;
 
-        Machine(final NodeId id, final int boot) {
+        Node(final NodeId id, final int boot) {
             this.id = id;
             final EventJournal journal = new EventJournal(this, 100);
             final String name = "b" + boot;
             items = new ItemStore(this, journal);
-            items.addListener(UpdateCluster.this::inForce);
+            items.addListener(UpdateCluster.this::recordObserved);
             final VotingConfiguration votingConfiguration = VotingConfiguration.of(new Quorum(VOTERS, Set.of()));
             acceptor = VOTERS.contains(id)
                     ? new Acceptor(
@@ -237,19 +239,20 @@
                     items,
                     () -> IDS,
                     new StoreHealth(votingConfiguration.quorum(), this, journal));
-            final int[] tags = {0};
-            orders = new UpdateService(
+            final int[] writeIdCount = {0};
+            updateService = new UpdateService(
                     this,
                     this,
                     items,
                     view,
                     proposer,
                     journal,
-                    () -> id + name + "-" + ++tags[0],
+                    () -> id + name + "-" + ++writeIdCount[0],
                     () -> preferred.filter(p -> !p.equals(id)),
                     limits);
-            registry = new OriginRegistry(this, items, view, proposer, journal, () -> id + name + "-" + ++tags[0]);
-            desk = acceptor == null ? null : new ViewServer(acceptor, items, this);
+            registry =
+                    new OriginRegistry(this, items, view, proposer, journal, () -> id + name + "-" + ++writeIdCount[0]);
+            viewServer = acceptor == null ? null : new ViewServer(acceptor, items, this);
             recovery = acceptor == null
                     ? null
                     : new UnfinishedWriteRecovery(
@@ -277,7 +280,7 @@
                     throw new IllegalStateException(e);
                 }
                 recovery.start();
-                orders.start(VOTERS.indexOf(id));
+                updateService.start(VOTERS.indexOf(id));
             }
             view.start();
         }
@@ -303,7 +306,7 @@
 
         @Override
         public void save(final Map<String, byte[]> rows, final Consumer<Boolean> done) {
-            schedule(SYNC, () -> {
+            schedule(SYNC_MS, () -> {
                 final Map<String, byte[]> disk = disks.computeIfAbsent(id, k -> new HashMap<>());
                 rows.forEach((k, v) -> {
                     if (v == null) {
@@ -317,127 +320,130 @@
         }
 
         @Override
-        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
-            if (--left < 0) {
+        public void request(
+                final NodeId recipient, final Message message, final long wait, final Consumer<Reply> callback) {
+            if (--messagesUntilCrash < 0) {
                 alive = false;
             }
             if (!alive) {
                 return;
             }
             sent++;
-            if (msg instanceof MissingItemsRequest) {
-                largestQuestionBytes = Math.max(largestQuestionBytes, MessageCodec.encode(msg).length);
+            if (message instanceof MissingItemsRequest) {
+                largestRequestBytes = Math.max(largestRequestBytes, MessageCodec.encode(message).length);
             }
             final boolean[] answered = {false};
             final Consumer<Reply> once = reply -> {
                 if (alive && !answered[0]) {
                     answered[0] = true;
-                    then.accept(reply);
+                    callback.accept(reply);
                 }
             };
             loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
-            if (open(recipient)) {
-                loop.schedule(delay(recipient), () -> arrive(recipient, msg, once));
+            if (isReachable(recipient)) {
+                loop.schedule(delayMs(recipient), () -> arrive(recipient, message, once));
             }
         }
 
-        private void arrive(final NodeId recipient, final Message msg, final Consumer<Reply> then) {
-            final Machine other = machines.get(recipient);
-            if (!recipient.equals(id) && isTooLarge(recipient, msg)) {
-                then.accept(Reply.failed(Reply.Failure.NOT_SENT));
+        private void arrive(final NodeId recipient, final Message message, final Consumer<Reply> callback) {
+            final Node other = nodes.get(recipient);
+            if (!recipient.equals(id) && isTooLarge(recipient, message)) {
+                callback.accept(Reply.failed(Reply.Failure.NOT_SENT));
             } else if (other.alive) {
-                other.take(id, msg, m -> {
-                    if (other.alive && open(recipient)) {
-                        final Message answer =
-                                isTooLarge(recipient, m) ? new RejectedResponse("larger than a frame") : m;
-                        loop.schedule(delay(recipient), () -> then.accept(Reply.of(answer)));
+                other.handle(id, message, response -> {
+                    if (other.alive && isReachable(recipient)) {
+                        final Message answer = isTooLarge(recipient, response)
+                                ? new RejectedResponse("larger than a frame")
+                                : response;
+                        loop.schedule(delayMs(recipient), () -> callback.accept(Reply.of(answer)));
                     }
                 });
             }
         }
 
-        private boolean isTooLarge(final NodeId recipient, final Message msg) {
-            return MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 1, 1, recipient, msg))
+        private boolean isTooLarge(final NodeId recipient, final Message message) {
+            return MessageCodec.encode(new MessageCodec.Frame(MessageCodec.PROTOCOL_VERSION, 1, 1, recipient, message))
                             .length
                     > MessageCodec.MAX_FRAME_BYTES;
         }
 
-        private boolean open(final NodeId recipient) {
-            return recipient.equals(id) || !cut.contains(id) && !cut.contains(recipient) && random.nextDouble() >= loss;
+        private boolean isReachable(final NodeId recipient) {
+            return recipient.equals(id)
+                    || !partitioned.contains(id) && !partitioned.contains(recipient) && random.nextDouble() >= loss;
         }
 
-        private long delay(final NodeId recipient) {
+        private long delayMs(final NodeId recipient) {
             return recipient.equals(id) ? 0 : 8 + random.nextInt(12);
         }
 
-        private void take(final NodeId from, final Message msg, final Consumer<Message> back) {
-            if (msg instanceof LearnNotification m) {
-                m.items().forEach(this::learn);
-                back.accept(new AckResponse());
-            } else if (msg instanceof UpdateForwardRequest m) {
-                orders.onForwarded(m, back);
+        private void handle(final NodeId from, final Message message, final Consumer<Message> callback) {
+            if (message instanceof LearnNotification request) {
+                request.items().forEach(this::learn);
+                callback.accept(new AckResponse());
+            } else if (message instanceof UpdateForwardRequest request) {
+                updateService.onForwarded(request, callback);
             } else if (acceptor == null) {
-                back.accept(new RejectedResponse("no voter"));
-            } else if (msg instanceof PrepareRequest m) {
-                acceptor.prepare(m, back);
-            } else if (msg instanceof AcceptRequest m) {
-                acceptor.accept(m, back);
-            } else if (msg instanceof AcceptedChecksumsRequest m) {
-                acceptor.acceptedChecksums(m, back);
-            } else if (msg instanceof StateTransferRequest m) {
-                acceptor.transferState(from, m, back);
-            } else if (msg instanceof DigestRequest m) {
-                desk.onDigestRequest(m, back);
-            } else if (msg instanceof MissingItemsRequest m) {
-                desk.onMissingItemsRequest(m, back);
+                callback.accept(new RejectedResponse("no voter"));
+            } else if (message instanceof PrepareRequest request) {
+                acceptor.prepare(request, callback);
+            } else if (message instanceof AcceptRequest request) {
+                acceptor.accept(request, callback);
+            } else if (message instanceof AcceptedChecksumsRequest request) {
+                acceptor.acceptedChecksums(request, callback);
+            } else if (message instanceof StateTransferRequest request) {
+                acceptor.transferState(from, request, callback);
+            } else if (message instanceof DigestRequest request) {
+                viewServer.onDigestRequest(request, callback);
+            } else if (message instanceof MissingItemsRequest request) {
+                viewServer.onMissingItemsRequest(request, callback);
             } else {
-                back.accept(new RejectedResponse("not done here"));
+                callback.accept(new RejectedResponse("not done here"));
             }
         }
     }
 
-    /** An operator's call, sent again to other nodes until its answer is clear. */
-    final class Caller {
+    /** An operator's client, which repeats an update at other nodes until the response is final. */
+    final class Client {
         final String text;
-        /** 200 or a 4xx; 0 while there is no clear answer. */
+        /** 200 or a 4xx; 0 while there is no final response. */
         int status;
 
         private final double lost;
-        private int serial;
+        private int attempts;
 
-        /** {@code lost}: a part of the answers does not reach the operator. */
-        Caller(final String text, final double lost) {
+        /** {@code lost}: the fraction of responses that do not reach the client. */
+        Client(final String text, final double lost) {
             this.text = text;
             this.lost = lost;
         }
 
         void send(final NodeId at) {
-            final int mine = ++serial;
-            patch(at, text, s -> {
+            final int attempt = ++attempts;
+            sendUpdate(at, text, received -> {
                 if (random.nextDouble() >= lost) {
-                    hear(mine, s);
+                    onStatus(attempt, received);
                 }
             });
-            loop.schedule(1000, () -> again(mine));
+            loop.schedule(1000, () -> retry(attempt));
         }
 
-        private void hear(final int mine, final int said) {
-            if (said / 100 == 5) {
-                again(mine);
+        private void onStatus(final int attempt, final int received) {
+            if (received / 100 == 5) {
+                retry(attempt);
             } else if (status == 0) {
-                status = said;
+                status = received;
             }
         }
 
-        private void again(final int mine) {
-            if (status == 0 && mine == serial) {
-                serial++;
+        private void retry(final int attempt) {
+            if (status == 0 && attempt == attempts) {
+                attempts++;
                 loop.schedule(50 + random.nextInt(200), () -> send(IDS.get(random.nextInt(IDS.size()))));
             }
         }
     }
 
-    List<NodeId> living() {
-        return new ArrayList<>(IDS.stream().filter(this::alive).toList());
+    List<NodeId> liveNodes() {
+        return new ArrayList<>(IDS.stream().filter(this::isAlive).toList());
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateModel.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateModel.java
@@ -6,11 +6,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What operators are promised, in a few lines over plain maps: every call is judged alone, one after the other. */
+/** A reference model of operators' updates over plain maps: every update is decided on its own, one after the other. */
 final class UpdateModel {
-    /** One part of a call; {@code services}: those that a route names, null where the part drops its item. */
-    record Part(String item, long version, String body, Set<String> services, boolean sound) {
-        boolean drops() {
+    /**
+     * One revision in an update; {@code services}: those that a route refers to, null if the revision deletes its item.
+     */
+    record Revision(String item, long version, String body, Set<String> services, boolean valid) {
+        boolean deletes() {
             return services == null;
         }
 
@@ -20,80 +22,86 @@
     }
 
     private final Map<String, Map<Long, String>> taken = new HashMap<>();
-    private final Map<String, Part> standing = new TreeMap<>();
+    private final Map<String, Revision> current = new TreeMap<>();
 
-    /** The status of a call; nothing of one that is not 200 has any effect. */
-    int apply(final List<Part> call) {
-        if (call.stream().anyMatch(part -> !part.sound() || isStatedOtherwise(call, part))) {
+    /** The status of an update; an update whose status is not 200 has no effect. */
+    int apply(final List<Revision> update) {
+        if (update.stream().anyMatch(revision -> !revision.valid() || hasOtherBody(update, revision))) {
             return 422;
         }
-        final List<Part> pending =
-                call.stream().filter(part -> !isItemTaken(call, part.item())).toList();
-        for (final Part part : pending) {
-            final String known = takenBodies(part.item()).get(part.version());
-            if (known != null && !known.equals(part.body())) {
+        final List<Revision> pending = update.stream()
+                .filter(revision -> !isItemTaken(update, revision.item()))
+                .toList();
+        for (final Revision revision : pending) {
+            final String known = takenBodies(revision.item()).get(revision.version());
+            if (known != null && !known.equals(revision.body())) {
                 return 409;
             }
         }
-        final Map<String, Part> after = new TreeMap<>(standing);
-        pending.forEach(part -> after.merge(part.item(), part, (a, b) -> b.version() > a.version() ? b : a));
-        final boolean valid = pending.stream().allMatch(part -> isValid(part, call, after)) && noneInUse(after);
-        if (!valid) {
+        final Map<String, Revision> after = new TreeMap<>(current);
+        pending.forEach(
+                revision -> after.merge(revision.item(), revision, (a, b) -> b.version() > a.version() ? b : a));
+        final boolean accepted =
+                pending.stream().allMatch(revision -> isValid(revision, update, after)) && allServicesExist(after);
+        if (!accepted) {
             return 422;
         }
-        pending.forEach(part -> takenBodies(part.item()).putIfAbsent(part.version(), part.body()));
-        standing.putAll(after);
+        pending.forEach(revision -> takenBodies(revision.item()).putIfAbsent(revision.version(), revision.body()));
+        current.putAll(after);
         return 200;
     }
 
-    Map<String, Part> standing() {
-        return standing;
+    Map<String, Revision> current() {
+        return current;
     }
 
     private Map<Long, String> takenBodies(final String item) {
         return taken.computeIfAbsent(item, key -> new HashMap<>());
     }
 
-    private static boolean isStatedOtherwise(final List<Part> call, final Part part) {
-        return call.stream()
-                .anyMatch(other -> other.item().equals(part.item())
-                        && other.version() == part.version()
-                        && !other.body().equals(part.body()));
+    private static boolean hasOtherBody(final List<Revision> update, final Revision revision) {
+        return update.stream()
+                .anyMatch(other -> other.item().equals(revision.item())
+                        && other.version() == revision.version()
+                        && !other.body().equals(revision.body()));
     }
 
-    private boolean isItemTaken(final List<Part> call, final String item) {
-        final Part highest = call.stream()
-                .filter(part -> part.item().equals(item))
+    private boolean isItemTaken(final List<Revision> update, final String item) {
+        final Revision highest = update.stream()
+                .filter(revision -> revision.item().equals(item))
                 .max((a, b) -> Long.compare(a.version(), b.version()))
                 .orElseThrow();
         return highest.body().equals(takenBodies(item).get(highest.version()));
     }
 
-    private boolean isValid(final Part part, final List<Part> call, final Map<String, Part> after) {
-        if (part.drops() || !part.isRoute() || takenBodies(part.item()).containsKey(part.version())) {
+    private boolean isValid(final Revision revision, final List<Revision> update, final Map<String, Revision> after) {
+        if (revision.deletes()
+                || !revision.isRoute()
+                || takenBodies(revision.item()).containsKey(revision.version())) {
             return true;
         }
-        final long before =
-                standing.containsKey(part.item()) ? standing.get(part.item()).version() : 0;
-        return part.services().stream().map(name -> "services/" + name).allMatch(service -> {
-            if (part.equals(after.get(part.item()))) {
-                return isThere(after, service);
+        final long before = current.containsKey(revision.item())
+                ? current.get(revision.item()).version()
+                : 0;
+        return revision.services().stream().map(name -> "services/" + name).allMatch(service -> {
+            if (revision.equals(after.get(revision.item()))) {
+                return exists(after, service);
             }
-            final boolean set = call.stream().anyMatch(other -> other.item().equals(service) && !other.drops());
+            final boolean set = update.stream().anyMatch(other -> other.item().equals(service) && !other.deletes());
             return set
-                    || isThere(standing, service)
-                    || part.version() < before && !takenBodies(service).isEmpty();
+                    || exists(current, service)
+                    || revision.version() < before && !takenBodies(service).isEmpty();
         });
     }
 
-    private static boolean isThere(final Map<String, Part> items, final String item) {
-        return items.containsKey(item) && !items.get(item).drops();
+    private static boolean exists(final Map<String, Revision> items, final String item) {
+        return items.containsKey(item) && !items.get(item).deletes();
     }
 
-    private static boolean noneInUse(final Map<String, Part> after) {
+    private static boolean allServicesExist(final Map<String, Revision> after) {
         return after.values().stream()
-                .filter(part -> part.isRoute() && !part.drops())
-                .flatMap(part -> part.services().stream())
-                .allMatch(name -> isThere(after, "services/" + name));
+                .filter(revision -> revision.isRoute() && !revision.deletes())
+                .flatMap(revision -> revision.services().stream())
+                .allMatch(name -> exists(after, "services/" + name));
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateModelTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateModelTest.java
@@ -20,25 +20,25 @@
 import org.rowanvalve.common.message.ChosenItem;
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.control.json.Json;
-import org.rowanvalve.control.operator.UpdateModel.Part;
+import org.rowanvalve.control.operator.UpdateModel.Revision;
 import org.rowanvalve.control.voting.VoterFixture;
 
-/** Drawn calls are judged as by {@link UpdateModel}, and leave the same items. */
+/** Generated updates get the same verdicts as from {@link UpdateModel} and leave the same items. */
 class UpdateModelTest {
-    private static final String DROPPED = "-";
-    private static final int MOST_PARTS = 5;
-    private static final int MOST_CALLS = 10;
+    private static final String DELETED = "-";
+    private static final int MAX_REVISIONS = 5;
+    private static final int MAX_UPDATES = 10;
     private static final int HIGHEST_VERSION = 6;
 
-    /** The faults that a part may have by itself. */
-    private enum Fault {
+    /** The errors that a revision may have by itself. */
+    private enum Defect {
         NONE,
         NO_ATTEMPTS,
         NO_WEIGHT
     }
 
-    private static Part service(final String name, final int version, final int note) {
-        return new Part(
+    private static Revision service(final String name, final int version, final int note) {
+        return new Revision(
                 "services/" + name,
                 version,
                 Json.write(new TreeMap<>(Map.of("kind", "open", "note", "n" + note))),
@@ -46,110 +46,115 @@
                 true);
     }
 
-    private static Part route(
-            final String name, final int version, final int note, final Set<String> services, final Fault fault) {
+    private static Revision route(
+            final String name, final int version, final int note, final Set<String> services, final Defect defect) {
         final List<Object> split = new ArrayList<>();
         services.stream()
                 .sorted()
                 .forEach(service -> split.add(new TreeMap<>(
-                        Map.of("service", service, "weight", split.isEmpty() && fault != Fault.NO_WEIGHT ? 1 : 0))));
+                        Map.of("service", service, "weight", split.isEmpty() && defect != Defect.NO_WEIGHT ? 1 : 0))));
         final Map<String, Object> body = new TreeMap<>(Map.of("prefix", "/x/", "host", "h", "mode", "status"));
         body.put("split", split);
         body.put("note", "n" + note);
-        body.put("tries", fault == Fault.NO_ATTEMPTS ? 0 : 2);
-        return new Part("routes/" + name, version, Json.write(body), services, fault == Fault.NONE);
+        body.put("tries", defect == Defect.NO_ATTEMPTS ? 0 : 2);
+        return new Revision("routes/" + name, version, Json.write(body), services, defect == Defect.NONE);
     }
 
-    private static Part drop(final String item, final int version) {
-        return new Part(item, version, DROPPED, null, true);
+    private static Revision deletion(final String item, final int version) {
+        return new Revision(item, version, DELETED, null, true);
     }
 
     @Provide
-    Arbitrary<List<List<Part>>> calls() {
+    Arbitrary<List<List<Revision>>> updates() {
         final Arbitrary<Integer> versions = Arbitraries.integers().between(1, HIGHEST_VERSION);
         final Arbitrary<Integer> notes = Arbitraries.frequency(Tuple.of(4, 1), Tuple.of(1, 2));
-        final Arbitrary<Part> services =
+        final Arbitrary<Revision> services =
                 Combinators.combine(Arbitraries.of("s", "t"), versions, notes).as(UpdateModelTest::service);
         final Arbitrary<Set<String>> named = Arbitraries.frequencyOf(
                 Tuple.of(12, Arbitraries.of("s", "t").set().ofMinSize(1)),
                 Tuple.of(1, Arbitraries.just(Set.of("nobody", "s"))));
-        final Arbitrary<Fault> faults = Arbitraries.frequency(
-                Tuple.of(20, Fault.NONE), Tuple.of(1, Fault.NO_ATTEMPTS), Tuple.of(1, Fault.NO_WEIGHT));
-        final Arbitrary<Part> routes = Combinators.combine(Arbitraries.of("r", "q"), versions, notes, named, faults)
+        final Arbitrary<Defect> defects = Arbitraries.frequency(
+                Tuple.of(20, Defect.NONE), Tuple.of(1, Defect.NO_ATTEMPTS), Tuple.of(1, Defect.NO_WEIGHT));
+        final Arbitrary<Revision> routes = Combinators.combine(
+                        Arbitraries.of("r", "q"), versions, notes, named, defects)
                 .as(UpdateModelTest::route);
-        final Arbitrary<Part> drops = Combinators.combine(
+        final Arbitrary<Revision> deletes = Combinators.combine(
                         Arbitraries.of("services/s", "services/t", "routes/r", "routes/q"), versions)
-                .as(UpdateModelTest::drop);
-        return Arbitraries.frequencyOf(Tuple.of(3, services), Tuple.of(3, routes), Tuple.of(2, drops))
+                .as(UpdateModelTest::deletion);
+        return Arbitraries.frequencyOf(Tuple.of(3, services), Tuple.of(3, routes), Tuple.of(2, deletes))
                 .list()
                 .ofMinSize(1)
-                .ofMaxSize(MOST_PARTS)
+                .ofMaxSize(MAX_REVISIONS)
                 .list()
-                .ofMaxSize(MOST_CALLS);
+                .ofMaxSize(MAX_UPDATES);
     }
 
-    /** Guards against an invalid part that is acknowledged, wherever it stands, and against a valid call that is refused. */
+    /**
+     * Guards against an invalid revision that is acknowledged, wherever it is in the update, and against a valid update
+     * that is rejected.
+     */
     @Property(tries = 1500, seed = "44")
-    void callsAreTakenAndRefusedAsTheModelSays(@ForAll("calls") final List<List<Part>> calls) {
-        final VoterFixture net = new VoterFixture();
-        final UpdateService updates = new UpdateService(
-                net.loop,
-                net,
-                net.items,
-                net.view,
-                net.proposer,
-                net.journal,
-                net::tag,
+    void updatesAreAcceptedAndRejectedAsInTheModel(@ForAll("updates") final List<List<Revision>> updates) {
+        final VoterFixture fixture = new VoterFixture();
+        final UpdateService updateService = new UpdateService(
+                fixture.loop,
+                fixture,
+                fixture.items,
+                fixture.view,
+                fixture.proposer,
+                fixture.journal,
+                fixture::tag,
                 Optional::empty,
                 UpdateLimits.DEFAULTS);
         final UpdateModel model = new UpdateModel();
-        net.confirm();
-        for (final List<Part> call : calls) {
+        fixture.confirm();
+        for (final List<Revision> update : updates) {
             final List<Integer> statuses = new ArrayList<>();
-            updates.apply(text(call).getBytes(StandardCharsets.UTF_8), response -> statuses.add(response.status()));
-            net.loop.run(100);
-            assertEquals(List.of(model.apply(call)), statuses, () -> "call " + text(call));
-            assertEquals(standing(model), standing(net), () -> "after call " + text(call));
+            updateService.apply(
+                    text(update).getBytes(StandardCharsets.UTF_8), response -> statuses.add(response.status()));
+            fixture.loop.run(100);
+            assertEquals(List.of(model.apply(update)), statuses, () -> "update " + text(update));
+            assertEquals(stateOf(model), stateOf(fixture), () -> "after update " + text(update));
         }
     }
 
-    private static String text(final List<Part> call) {
+    private static String text(final List<Revision> update) {
         final Map<String, Map<String, Map<String, List<Object>>>> all = new TreeMap<>();
-        for (final Part part : call) {
-            final int slash = part.item().indexOf('/');
+        for (final Revision revision : update) {
+            final int slash = revision.item().indexOf('/');
             final Map<String, Object> body = new HashMap<>();
-            if (!part.drops()) {
-                ((Map<?, ?>) Json.read(part.body(), Map.class))
+            if (!revision.deletes()) {
+                ((Map<?, ?>) Json.read(revision.body(), Map.class))
                         .forEach((name, value) -> body.put(String.valueOf(name), value));
-                body.put("version", part.version());
+                body.put("version", revision.version());
             }
-            all.computeIfAbsent(part.drops() ? "drop" : "set", key -> new TreeMap<>())
-                    .computeIfAbsent(part.item().substring(0, slash), key -> new TreeMap<>())
-                    .computeIfAbsent(part.item().substring(slash + 1), key -> new ArrayList<>())
-                    .add(part.drops() ? part.version() : body);
+            all.computeIfAbsent(revision.deletes() ? "drop" : "set", key -> new TreeMap<>())
+                    .computeIfAbsent(revision.item().substring(0, slash), key -> new TreeMap<>())
+                    .computeIfAbsent(revision.item().substring(slash + 1), key -> new ArrayList<>())
+                    .add(revision.deletes() ? revision.version() : body);
         }
         return Json.write(all);
     }
 
-    private static Map<String, String> standing(final UpdateModel model) {
+    private static Map<String, String> stateOf(final UpdateModel model) {
         final Map<String, String> all = new TreeMap<>();
-        model.standing().forEach((item, part) -> all.put(item, part.version() + " " + noteOf(part.body())));
+        model.current().forEach((item, revision) -> all.put(item, revision.version() + " " + noteOf(revision.body())));
         return all;
     }
 
-    private static Map<String, String> standing(final VoterFixture net) {
+    private static Map<String, String> stateOf(final VoterFixture fixture) {
         final Map<String, String> all = new TreeMap<>();
-        net.items.all().stream()
+        fixture.items.all().stream()
                 .map(ChosenItem::item)
                 .filter(item ->
                         item.id().kind() == ItemKind.SERVICE || item.id().kind() == ItemKind.ROUTE)
                 .forEach(item -> all.put(
                         item.id().kind().label() + "s/" + item.id().name(),
-                        item.version().number() + " " + noteOf(item.exists() ? item.body() : DROPPED)));
+                        item.version().number() + " " + noteOf(item.exists() ? item.body() : DELETED)));
         return all;
     }
 
     private static Object noteOf(final String body) {
-        return body.equals(DROPPED) ? DROPPED : Json.read(body, Map.class).get("note");
+        return body.equals(DELETED) ? DELETED : Json.read(body, Map.class).get("note");
     }
 }
