--- a/common/src/main/java/org/rowanvalve/common/event/EventCode.java
+++ b/common/src/main/java/org/rowanvalve/common/event/EventCode.java
@@ -1,6 +1,6 @@
 package org.rowanvalve.common.event;
 
-/** The numbered events; docs/EVENTS.md lists each and a test keeps the two alike. */
+/** The numbered events. docs/EVENTS.md lists each event; a test checks that both agree. */
 public enum EventCode {
     STARTED(1001, "process started"),
     READY(1002, "process ready"),
--- a/common/src/main/java/org/rowanvalve/common/event/EventJournal.java
+++ b/common/src/main/java/org/rowanvalve/common/event/EventJournal.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.rowanvalve.common.runtime.EventLoop;
 
-/** Events of one process in memory: views subscribe and fold, the last ones can be read back. */
+/** The in-memory journal of a process's events. Listeners receive each event; the most recent events can be read. */
 public final class EventJournal {
     private final EventLoop loop;
     private final int capacity;
@@ -23,7 +23,8 @@
     }
 
     /**
-     * Numbers the event, gives it the time of the loop's clock, and passes it to all listeners in the calling thread.
+     * Assigns the next sequence number and the time of the loop's clock to the event, and passes it to all listeners in
+     * the calling thread.
      */
     public synchronized void add(final Event event) {
         final Entry entry = new Entry(++sequence, loop.now(), event);
@@ -31,15 +32,15 @@
             recentEntries.removeFirst();
         }
         recentEntries.addLast(entry);
-        listeners.forEach(v -> v.accept(entry));
+        listeners.forEach(listener -> listener.accept(entry));
     }
 
-    /** {@code view} gets each later event, in the thread that adds it; it must not block. */
-    public void subscribe(final Consumer<Entry> view) {
-        listeners.add(view);
+    /** {@code listener} gets each later event in the thread that adds the event, and must not block. */
+    public void subscribe(final Consumer<Entry> listener) {
+        listeners.add(listener);
     }
 
-    /** The last events, the oldest first; as many as the journal was created for at most. */
+    /** Returns the most recent events up to the journal's capacity, oldest first. */
     public synchronized List<Entry> recent() {
         return List.copyOf(recentEntries);
     }
--- a/common/src/main/java/org/rowanvalve/common/model/CancelCause.java
+++ b/common/src/main/java/org/rowanvalve/common/model/CancelCause.java
@@ -4,15 +4,15 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import java.util.Arrays;
 
-/** Why nobody waits for a request's response any more. */
+/** The reason why the response to a request is no longer needed. */
 public enum CancelCause {
     /** The client closed its connection. */
     CLIENT_LEFT("client-left"),
-    /** The edge has answered its client, or has given up on this shield. */
+    /** The edge has responded to its client, or has stopped waiting for this shield. */
     ANSWERED("answered"),
-    /** The edge's connection to this shield ended, and with it the way back. */
+    /** The edge's connection to this shield was closed, so the response cannot be delivered. */
     EDGE_DISCONNECTED("edge-disconnected"),
-    /** A cause that this release does not know. */
+    /** A cause that this release does not define. */
     OTHER("other");
 
     private final String code;
@@ -21,13 +21,15 @@
         this.code = code;
     }
 
-    /** The name between processes and in the log; it never changes. */
+    /** Returns the name in messages and in the log, which never changes. */
     @JsonValue
     public String code() {
         return code;
     }
 
-    /** Lenient, so that a later release may add causes. */
+    /**
+     * Returns the cause of this name, or {@link #OTHER} for an unknown name, so that a later release can add causes.
+     */
     @JsonCreator
     public static CancelCause ofCode(final String code) {
         return Arrays.stream(values())
--- a/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
+++ b/common/src/main/java/org/rowanvalve/common/model/FencingToken.java
@@ -1,15 +1,17 @@
 package org.rowanvalve.common.model;
 
 /**
- * A fencing token: the term of the leader that granted it, and a count within the placement plan. A request with a
- * token below one already seen for the shard is rejected.
+ * A fencing token: the term of the leader that granted it, and a count that the placement plan
+ * increases with each move of the shard. A request with a token below one already seen for the shard is rejected.
  */
 public record FencingToken(long term, long count) implements Comparable<FencingToken> {
     public static final FencingToken ZERO = new FencingToken(0, 0);
 
-    /** The next token in term {@code now}: above this one, whatever that term is. */
-    public FencingToken next(final long now) {
-        return new FencingToken(Math.max(term, now), count + 1);
+    /**
+     * Returns the next token in the given term. It is above this token even if the given term is below this token's.
+     */
+    public FencingToken next(final long currentTerm) {
+        return new FencingToken(Math.max(term, currentTerm), count + 1);
     }
 
     public boolean isBelow(final FencingToken other) {
@@ -18,8 +20,8 @@
 
     @Override
     public int compareTo(final FencingToken other) {
-        final int c = Long.compare(term, other.term);
-        return c != 0 ? c : Long.compare(count, other.count);
+        final int byTerm = Long.compare(term, other.term);
+        return byTerm != 0 ? byTerm : Long.compare(count, other.count);
     }
 
     @Override
@@ -27,7 +29,7 @@
         return term + "." + count;
     }
 
-    /** Reads {@code TERM.COUNT}. */
+    /** Parses {@code TERM.COUNT}. */
     public static FencingToken parse(final String text) {
         final int dot = text.indexOf('.');
         return new FencingToken(Long.parseLong(text.substring(0, dot)), Long.parseLong(text.substring(dot + 1)));
--- a/common/src/main/java/org/rowanvalve/common/model/Hash.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Hash.java
@@ -9,17 +9,17 @@
 public final class Hash {
     private Hash() {}
 
-    /** The same 64 bits for the same text in every process. */
+    /** Returns the 64-bit FNV-1a hash of the text in UTF-8, finalized by the mixer of MurmurHash3. */
     public static long hash64(final String text) {
-        long h = 0xcbf29ce484222325L;
+        long hash = 0xcbf29ce484222325L;
         for (final byte b : text.getBytes(StandardCharsets.UTF_8)) {
-            h = (h ^ (b & 0xff)) * 0x100000001b3L;
+            hash = (hash ^ (b & 0xff)) * 0x100000001b3L;
         }
-        h ^= h >>> 33;
-        h *= 0xff51afd7ed558ccdL;
-        h ^= h >>> 33;
-        h *= 0xc4ceb9fe1a85ec53L;
-        return h ^ (h >>> 33);
+        hash ^= hash >>> 33;
+        hash *= 0xff51afd7ed558ccdL;
+        hash ^= hash >>> 33;
+        hash *= 0xc4ceb9fe1a85ec53L;
+        return hash ^ (hash >>> 33);
     }
 
     public static String sha256Hex(final byte[] data) {
--- a/common/src/main/java/org/rowanvalve/common/model/ItemId.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemId.java
@@ -7,17 +7,17 @@
 public record ItemId(ItemKind kind, String name) implements Comparable<ItemId> {
     public static final ItemId PLAN = new ItemId(ItemKind.PLAN, "plan");
     public static final ItemId LEADERSHIP = new ItemId(ItemKind.LEADERSHIP, "tenure");
-    /** Its version is the epoch of the voting set that it names. */
+    /** The register of the voting set. Its version is the epoch of the voting set that it contains. */
     public static final ItemId VOTERS = new ItemId(ItemKind.VOTERS, "voters");
 
-    /** The register that decides operators' updates. */
+    /** The register in which operators' updates are decided. */
     public static final ItemId LEDGER = new ItemId(ItemKind.LEDGER, "orders");
 
-    /** Reads {@code KIND/NAME}; an unknown kind is an {@link IllegalArgumentException}. */
+    /** Parses {@code KIND/NAME}; throws an {@link IllegalArgumentException} if the kind is unknown. */
     @JsonCreator
     public static ItemId parse(final String text) {
-        final int cut = text.indexOf('/');
-        return new ItemId(ItemKind.ofCode(text.substring(0, cut)), text.substring(cut + 1));
+        final int separator = text.indexOf('/');
+        return new ItemId(ItemKind.ofCode(text.substring(0, separator)), text.substring(separator + 1));
     }
 
     @JsonValue
@@ -25,7 +25,10 @@
         return kind.code() + "/" + name;
     }
 
-    /** The same in every process: an enum's own differs from run to run, and with it the order of hashed collections. */
+    /**
+     * Uses the ordinal of the kind, because an enum constant's own hash code differs between processes, and with it the
+     * iteration order of hashed collections.
+     */
     @Override
     public int hashCode() {
         return 31 * kind.ordinal() + name.hashCode();
--- a/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ItemKind.java
@@ -13,7 +13,7 @@
     LEADERSHIP("TENURE"),
     COLLECTION("SWEEP"),
     LIMIT("LIMIT"),
-    /** Which version of each item was taken with which body; written by the update sequencer only. */
+    /** The accepted versions of items with the bodies accepted for them; written by the update sequencer only. */
     LEDGER("LEDGER"),
     VOTERS("VOTERS");
 
@@ -23,7 +23,7 @@
         this.code = code;
     }
 
-    /** The kind's name in stored data and between processes; it never changes. */
+    /** Returns the name in stored data and in messages, which never changes. */
     public String code() {
         return code;
     }
@@ -41,7 +41,7 @@
         return code.toLowerCase(Locale.ROOT);
     }
 
-    /** Versions of such a kind come from one count for all its items. */
+    /** Whether all items of this kind take their versions from one shared counter. */
     public boolean sharesVersionCounter() {
         return this == PURGE || this == ORIGIN;
     }
@@ -51,12 +51,12 @@
         return this == ROUTE || this == SERVICE || this == PURGE || this == LIMIT;
     }
 
-    /** Whether items of this kind make up the configuration, which stands until an operator changes it. */
+    /** Whether items of this kind belong to the configuration, which is in force until an operator changes it. */
     public boolean isConfiguration() {
         return this == ROUTE || this == SERVICE || this == LIMIT;
     }
 
-    /** The kind of this name in the control interface, singular or plural. */
+    /** Returns the kind with this name, singular or plural, in the control interface. */
     public static Optional<ItemKind> of(final String word) {
         for (final ItemKind kind : values()) {
             if (kind.label().equals(word) || (kind.label() + "s").equals(word)) {
--- a/common/src/main/java/org/rowanvalve/common/model/LeaseState.java
+++ b/common/src/main/java/org/rowanvalve/common/model/LeaseState.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The state of a shard's lease, as its holder reports it or its manager states it. */
+/** The state of a shard's lease as the holder or the lease manager reports it. */
 public enum LeaseState {
-    /** The manager grants it; at the holder it is uncertain until a renewal is answered. */
+    /** Granted by the lease manager. For the holder the lease is uncertain until a renewal is answered. */
     GRANTED("GRANTED"),
-    /** Renewed in time: fills may start. */
+    /** Renewed in time: the holder may start fills. */
     HELD("HELD"),
-    /** New, or a renewal went unanswered: what is cached is served, no fill starts. */
+    /** New, or a renewal was not answered: the holder serves cached objects but starts no fill. */
     UNCERTAIN("UNCERTAIN"),
-    /** Its validity ended before a renewal was answered. */
+    /** The validity ended before a renewal was answered. */
     EXPIRED("EXPIRED"),
-    /** The manager took it back. */
+    /** Revoked by the lease manager. */
     REVOKED("REVOKED"),
-    /** Its fills are being stopped and have not all ended. */
+    /** The holder is stopping its fills, and some of them have not ended. */
     FENCING("FENCING");
 
     private final String code;
@@ -23,7 +23,7 @@
         this.code = code;
     }
 
-    /** The name between processes and in the control interface; it never changes. */
+    /** Returns the name in messages and in the control interface, which never changes. */
     @JsonValue
     public String code() {
         return code;
--- a/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
+++ b/common/src/main/java/org/rowanvalve/common/model/LeaseTimings.java
@@ -1,10 +1,15 @@
 package org.rowanvalve.common.model;
 
 /**
- * The time-outs of leases and of the view, in ms: D ({@code leaseMs}), M ({@code marginMs}), and the intervals derived
- * from them.
+ * The timings of leases, of the configuration view and of heartbeats, in ms.
+ *
+ * @param leaseMs the lease duration D
+ * @param marginMs the safety margin M
+ * @param maxViewAgeMs the maximum age of a confirmed configuration view
  */
 public record LeaseTimings(long leaseMs, long marginMs, long maxViewAgeMs) {
+    private static final long DEFAULT_MAX_VIEW_AGE_MS = 1500;
+
     public static final LeaseTimings DEFAULT = new LeaseTimings(3000, 1000);
 
     public LeaseTimings {
@@ -23,31 +28,36 @@
     }
 
     public LeaseTimings(final long leaseMs, final long marginMs) {
-        this(leaseMs, marginMs, 1500);
+        this(leaseMs, marginMs, DEFAULT_MAX_VIEW_AGE_MS);
     }
 
-    /** How often a holder renews its leases. */
+    /** Returns the interval at which a holder renews its leases. */
     public long renewIntervalMs() {
         return leaseMs / 3;
     }
 
     /**
-     * The end of a lease for its holder, whose answered renewal was sent at {@code sentAt}, in ms of the same clock.
+     * Returns the time at which a lease ends for its holder, on the clock of {@code sentAt}, when the holder sent the
+     * last renewal that was answered.
      */
     public long validUntil(final long sentAt) {
         return sentAt + leaseMs - marginMs;
     }
 
-    /** When a lease granted at {@code grantedAt} may be granted to another holder, in ms of the same clock. */
+    /**
+     * Returns the time from which a lease granted at {@code grantedAt} may be granted to another holder, on the same
+     * clock.
+     */
     public long regrantTime(final long grantedAt) {
         return grantedAt + leaseMs + 2 * marginMs;
     }
 
-    /** Leadership is a lease of its own: how long one renewal lasts, and the margin within it. */
+    /** Returns the duration of the leadership lease, which is separate from the leases of shards. */
     public long leadershipLeaseMs() {
         return 1600;
     }
 
+    /** Returns the safety margin within the duration of the leadership lease. */
     public long leadershipMarginMs() {
         return 450;
     }
@@ -56,7 +66,7 @@
         return 500;
     }
 
-    /** Silence after which a node counts as down. */
+    /** Returns the silence after which a node is considered failed. */
     public long failureTimeoutMs() {
         return 2000;
     }
--- a/common/src/main/java/org/rowanvalve/common/model/Member.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Member.java
@@ -3,8 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * One process of the network as its heartbeats describe it. {@code messagingVersion}: which messages it takes; a process of
- * a release that stated none takes those of the first.
+ * One process of the network as its heartbeats describe it.
+ *
+ * @param messagingVersion the version of the message set that the process accepts; null for a process of a release that
+ *     states none and accepts the first message set only
  */
 public record Member(
         NodeId id,
@@ -16,12 +18,12 @@
         @JsonProperty("condition") NodeStatus status,
         String version,
         @JsonProperty("messages") Integer messagingVersion) {
-    /** From this version on a member takes requests back, by {@code CancelRequest}. */
+    /** The first version that supports the cancellation of requests by {@code CancelRequest}. */
     public static final int CANCEL_VERSION = 1;
 
     private static final int CURRENT_VERSION = CANCEL_VERSION;
 
-    /** A process of this release. */
+    /** Creates a process of this release, with the current messaging version. */
     public Member(
             final NodeId id,
             final Role role,
@@ -38,7 +40,7 @@
         return new Member(id, role, location, host, port, incarnation, newStatus, version, messagingVersion);
     }
 
-    /** Whether it takes messages that came with this version. */
+    /** Whether the process accepts the messages introduced by this version. */
     public boolean speaks(final int wantedVersion) {
         return messagingVersion != null && messagingVersion >= wantedVersion;
     }
--- a/common/src/main/java/org/rowanvalve/common/model/NodeStatus.java
+++ b/common/src/main/java/org/rowanvalve/common/model/NodeStatus.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** How a member describes itself in its heartbeats. */
+/** The status that a member reports in its heartbeats. */
 public enum NodeStatus {
     READY("READY"),
     PARTIAL("PARTIAL"),
@@ -15,7 +15,7 @@
         this.code = code;
     }
 
-    /** The name between processes and in the control interface; it never changes. */
+    /** Returns the name in messages and in the control interface, which never changes. */
     @JsonValue
     public String code() {
         return code;
--- a/common/src/main/java/org/rowanvalve/common/model/RequestOutcome.java
+++ b/common/src/main/java/org/rowanvalve/common/model/RequestOutcome.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** What became of a client's request, as far as the node that answers can know. */
+/** The outcome of a client's request as far as the responding node can know it. */
 public enum RequestOutcome {
-    /** An origin's own answer, or a copy of it. */
+    /** Answered with an origin's response or with a cached copy of one. */
     DONE("done"),
-    /** Not executed, and never will be under this attempt. */
+    /** Not executed, and never executed later under this attempt. */
     REFUSED("refused"),
-    /** It may have been executed or not. */
+    /** The request may or may not have been executed. */
     UNKNOWN("unknown");
 
     private final String code;
@@ -17,7 +17,7 @@
         this.code = code;
     }
 
-    /** The name between processes, in headers and in JSON; it never changes. */
+    /** Returns the name in messages, headers and JSON, which never changes. */
     @JsonValue
     public String code() {
         return code;
--- a/common/src/main/java/org/rowanvalve/common/model/Role.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Role.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a process does in the network. */
+/** The role of a process in the network. */
 public enum Role {
     STORE,
     SHIELD,
--- a/common/src/main/java/org/rowanvalve/common/model/UpdateVerdict.java
+++ b/common/src/main/java/org/rowanvalve/common/model/UpdateVerdict.java
@@ -2,19 +2,21 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** What an operator's update comes to before a state of the update ledger. */
+/** The result of checking an operator's update against a state of the update ledger. */
 public enum UpdateVerdict {
-    /** Every version of the update was taken with this body, or was overtaken: nothing is left to decide. */
+    /** Every version of the update was accepted with this body or was superseded, so nothing is left to decide. */
     TAKEN("STANDS"),
-    /** Some version is new: the update can be taken. */
+    /** Some version is new, so the update can be accepted. */
     NEW("NEW"),
-    /** Some version was taken with another body. */
+    /** Some version was accepted with another body. */
     CONFLICT("CONFLICT"),
-    /** Some route names a service that is not known. */
+    /** Some route names an unknown service. */
     INVALID_REFERENCE("UNFIT"),
-    /** With it the configuration would be larger than it may be; known only to the node that judged. */
+    /**
+     * The update would make the configuration exceed its size limit; only the node that checked the update knows this.
+     */
     CONFIGURATION_FULL("FULL"),
-    /** No majority has answered: the update may be taken or not. */
+    /** No majority has responded, so the update may or may not be accepted. */
     UNDECIDED("OPEN");
 
     private final String code;
@@ -23,7 +25,7 @@
         this.code = code;
     }
 
-    /** The name between processes; it never changes. */
+    /** Returns the name in messages, which never changes. */
     @JsonValue
     public String code() {
         return code;
--- a/common/src/main/java/org/rowanvalve/common/model/ValidationError.java
+++ b/common/src/main/java/org/rowanvalve/common/model/ValidationError.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** One fault of an input, with the place in the input where it stands. */
+/** An error in an input, with the path of the faulty element. */
 public record ValidationError(
         @JsonProperty("place") String path,
         @JsonProperty("text") String message) {
--- a/common/src/main/java/org/rowanvalve/common/model/VersionVector.java
+++ b/common/src/main/java/org/rowanvalve/common/model/VersionVector.java
@@ -6,14 +6,14 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The versions that a cached copy was filled under: of its route and of every purge that concerns it. */
+/** The versions in force when a cached copy was filled: of its route and of each purge that applies to the copy. */
 public record VersionVector(@JsonValue SortedMap<String, Long> versions) {
     @JsonCreator
     public VersionVector(final Map<String, Long> versions) {
         this(new TreeMap<>(versions == null ? Map.of() : versions));
     }
 
-    /** Whether a copy with these versions is as new as {@code other} asks for. */
+    /** Whether a copy with these versions is at least as new as {@code other} requires. */
     public boolean covers(final VersionVector other) {
         return other.versions.entrySet().stream()
                 .allMatch(entry -> versions.getOrDefault(entry.getKey(), 0L) >= entry.getValue());
--- a/common/src/main/java/org/rowanvalve/common/model/package-info.java
+++ b/common/src/main/java/org/rowanvalve/common/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Identifiers and values that every other package shares: nodes, replicated items and their versions, ballots, fencing
- * tokens, lease times. Immutable; depends on nothing of the project.
+ * Identifiers and values that all other packages share: nodes, replicated items and their versions, ballots, fencing
+ * tokens, lease timings. All types are immutable and depend on no other package of the project.
  */
 package org.rowanvalve.common.model;
--- a/common/src/main/java/org/rowanvalve/common/runtime/EventLoop.java
+++ b/common/src/main/java/org/rowanvalve/common/runtime/EventLoop.java
@@ -1,8 +1,10 @@
 package org.rowanvalve.common.runtime;
 
-/** The one thread of a node's control and data plane: monotonic time in ms, and jobs. No job may block. */
+/**
+ * The single thread of a node's control and data plane, with a monotonic clock and scheduled jobs. No job may block.
+ */
 public interface EventLoop {
-    /** Monotonic time in ms, without relation to the time of day. */
+    /** Returns the monotonic time in ms, which is unrelated to the time of day. */
     long now();
 
     /** Runs {@code job} in this thread after {@code ms} milliseconds. */
@@ -12,7 +14,9 @@
         schedule(0, job);
     }
 
-    /** Runs {@code job} again and again, {@code ms} milliseconds after each end of it. */
+    /**
+     * Runs {@code job} repeatedly, with {@code ms} milliseconds between the end of one run and the start of the next.
+     */
     default void scheduleRepeatedly(final long ms, final Runnable job) {
         schedule(ms, () -> {
             job.run();
--- a/common/src/main/java/org/rowanvalve/common/runtime/StableStorage.java
+++ b/common/src/main/java/org/rowanvalve/common/runtime/StableStorage.java
@@ -4,11 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * Rows that survive the process and a loss of power once they are synced. A null value in {@code save} removes the row;
- * {@code done} gets true only once the rows are synced, and false where they could not be.
+ * Stores rows that survive the end of the process and a power failure once they are synced. A null value in {@code
+ * save} removes the row. {@code done} gets true once the rows are synced, and false if they could not be synced.
  */
 public interface StableStorage {
-    /** All rows, as last saved. */
+    /** Returns all rows as last saved. */
     Map<String, byte[]> load() throws StorageException;
 
     void save(Map<String, byte[]> rows, Consumer<Boolean> done);
--- a/common/src/main/java/org/rowanvalve/common/runtime/StorageException.java
+++ b/common/src/main/java/org/rowanvalve/common/runtime/StorageException.java
@@ -1,8 +1,8 @@
 package org.rowanvalve.common.runtime;
 
-/** State on disk cannot be read or written. */
+/** Thrown if state on disk cannot be read or written. */
 public final class StorageException extends Exception {
-    public StorageException(final String text, final Throwable why) {
-        super(text, why);
+    public StorageException(final String message, final Throwable cause) {
+        super(message, cause);
     }
 }
--- a/common/src/test/java/org/rowanvalve/common/model/LeaseTimingsTest.java
+++ b/common/src/test/java/org/rowanvalve/common/model/LeaseTimingsTest.java
@@ -7,7 +7,7 @@
 
 class LeaseTimingsTest {
     @Test
-    void aFramesGreatestAgeIsStatedOrOneAndAHalfSeconds() {
+    void theMaximumViewAgeIsTheGivenOneOr1500Milliseconds() {
         assertEquals(1500, LeaseTimings.DEFAULT.maxViewAgeMs());
         assertEquals(1500, new LeaseTimings(6000, 1200).maxViewAgeMs());
         assertEquals(200, new LeaseTimings(3000, 1000, 200).maxViewAgeMs());
@@ -15,7 +15,7 @@
     }
 
     @Test
-    void durationAndMarginKeepTheirFloors() {
+    void durationAndMarginHaveMinimums() {
         assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(2999, 1000));
         assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(3000, 999));
         assertThrows(IllegalArgumentException.class, () -> new LeaseTimings(12_000, 1100));
--- a/control/src/main/java/org/rowanvalve/control/config/Configuration.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Configuration.java
@@ -14,8 +14,8 @@
 import org.rowanvalve.control.store.ItemStore;
 
 /**
- * A declared configuration, as far as it could be read; {@link #checkReferences} adds the references that do not
- * resolve.
+ * The configuration that operators declare. It is incomplete if reading it reported validation errors;
+ * {@link #checkReferences} reports references that do not resolve.
  */
 public final class Configuration {
     private static final String NAME = "[a-z0-9][a-z0-9._-]{0,60}";
@@ -40,26 +40,26 @@
         return limits;
     }
 
-    /** Reads operators' JSON; {@code errors} gets every error with its path, and references are checked too. */
+    /** Parses an operator's JSON and checks its references; each error is added to {@code errors} with its path. */
     public static Configuration read(final byte[] data, final List<ValidationError> errors) {
         final Configuration configuration = new Configuration();
         final Object value = JsonReader.read(data, errors);
         if (value == null && !errors.isEmpty()) {
             return configuration;
         }
-        final JsonObjectReader all = new JsonObjectReader(value, "", errors);
+        final JsonObjectReader root = new JsonObjectReader(value, "", errors);
         for (final ItemKind kind : List.of(ItemKind.SERVICE, ItemKind.ROUTE, ItemKind.PURGE)) {
-            final String part = kind.label() + "s";
-            all.object(part)
-                    .forEach((name, v) -> configuration.readItem(
-                            new ItemId(kind, String.valueOf(name)), v, "/" + part + "/" + name, errors));
+            final String section = kind.label() + "s";
+            root.object(section)
+                    .forEach((name, member) -> configuration.readItem(
+                            new ItemId(kind, String.valueOf(name)), member, "/" + section + "/" + name, errors));
         }
-        all.rejectUnknownMembers();
+        root.rejectUnknownMembers();
         configuration.checkReferences(errors);
         return configuration;
     }
 
-    /** Reads one item into this configuration; {@code path} is where it stands in the input. */
+    /** Reads one item into this configuration; {@code path} is the location of the item in the input. */
     public void readItem(final ItemId id, final Object value, final String path, final List<ValidationError> errors) {
         final JsonObjectReader object = new JsonObjectReader(value, path, errors);
         if (!id.name().matches(NAME)) {
@@ -118,18 +118,18 @@
         final String service = object.text(
                 "service", split.isEmpty(), split.isEmpty() ? "" : split.get(0).service());
         final RouteMode mode = RouteMode.ofCode(object.oneOf("mode", RouteMode.codes()));
-        final long life = object.wholeNumber("lifetimeMs", mode == RouteMode.CACHED, 0, 0, 86_400_000);
-        final String when = object.text("when", false, "");
-        if (!when.isEmpty()) {
-            RouteCondition.error(when).ifPresent(f -> object.addError("when", f));
+        final long ttlMs = object.wholeNumber("lifetimeMs", mode == RouteMode.CACHED, 0, 0, 86_400_000);
+        final String condition = object.text("when", false, "");
+        if (!condition.isEmpty()) {
+            RouteCondition.error(condition).ifPresent(message -> object.addError("when", message));
         }
         return new Route(
                 prefix,
                 service,
                 mode,
-                life,
+                ttlMs,
                 object.booleanValue("purgeable", true),
-                when,
+                condition,
                 object.text("host", false, ""),
                 split,
                 object.booleanValue("any", false),
@@ -160,30 +160,32 @@
     }
 
     /**
-     * Adds an error for each reference that does not resolve, for overlapping prefixes, and for a mode that a service
-     * cannot serve.
+     * Adds an error for each reference that does not resolve, for each pair of overlapping prefixes, and for each route
+     * whose mode its service does not support.
      */
     public void checkReferences(final List<ValidationError> errors) {
-        final List<Map.Entry<String, Route>> list = new ArrayList<>(routes.entrySet());
-        for (int i = 0; i < list.size(); i++) {
-            final Route route = list.get(i).getValue();
-            final String at = "/routes/" + list.get(i).getKey();
+        final List<Map.Entry<String, Route>> entries = new ArrayList<>(routes.entrySet());
+        for (int i = 0; i < entries.size(); i++) {
+            final Route route = entries.get(i).getValue();
+            final String routePath = "/routes/" + entries.get(i).getKey();
             route.services().stream()
                     .filter(name -> !name.isEmpty() && !services.containsKey(name))
-                    .forEach(name -> errors.add(new ValidationError(at + "/service", "no service is named " + name)));
+                    .forEach(name ->
+                            errors.add(new ValidationError(routePath + "/service", "no service is named " + name)));
             final Service service = services.get(route.service());
             if (service != null && route.hasMode(RouteMode.KEYED) && service.isContent()) {
-                errors.add(new ValidationError(at + "/mode", "a content store takes no keyed requests"));
+                errors.add(new ValidationError(routePath + "/mode", "a content store takes no keyed requests"));
             }
             for (int j = 0; j < i; j++) {
-                final String other = list.get(j).getValue().prefix();
+                final String other = entries.get(j).getValue().prefix();
                 if (route.host().isEmpty()
-                        && list.get(j).getValue().host().isEmpty()
+                        && entries.get(j).getValue().host().isEmpty()
                         && !route.prefix().isEmpty()
                         && !other.isEmpty()
                         && (route.prefix().startsWith(other) || other.startsWith(route.prefix()))) {
                     errors.add(new ValidationError(
-                            at + "/prefix", "overlaps route " + list.get(j).getKey()));
+                            routePath + "/prefix",
+                            "overlaps route " + entries.get(j).getKey()));
                 }
             }
         }
@@ -199,19 +201,19 @@
         });
     }
 
-    /** The items of this configuration with their bodies as JSON text. */
+    /** Returns the body of each item of this configuration as JSON text. */
     public Map<ItemId, String> bodies() {
-        final Map<ItemId, String> map = new TreeMap<>();
-        services.forEach((name, object) -> map.put(new ItemId(ItemKind.SERVICE, name), Json.write(object)));
-        routes.forEach((name, route) -> map.put(new ItemId(ItemKind.ROUTE, name), Json.write(route)));
-        purges.forEach((name, purge) -> map.put(new ItemId(ItemKind.PURGE, name), Json.write(purge)));
+        final Map<ItemId, String> bodies = new TreeMap<>();
+        services.forEach((name, object) -> bodies.put(new ItemId(ItemKind.SERVICE, name), Json.write(object)));
+        routes.forEach((name, route) -> bodies.put(new ItemId(ItemKind.ROUTE, name), Json.write(route)));
+        purges.forEach((name, purge) -> bodies.put(new ItemId(ItemKind.PURGE, name), Json.write(purge)));
         if (limits != null) {
-            map.put(RequestLimits.ID, Json.write(limits));
+            bodies.put(RequestLimits.ID, Json.write(limits));
         }
-        return map;
+        return bodies;
     }
 
-    /** The configuration that the chosen items amount to. */
+    /** Returns the configuration that the chosen items define. */
     public static Configuration of(final ItemStore items) {
         final Configuration configuration = new Configuration();
         items.all().stream()
--- a/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
@@ -14,7 +14,10 @@
 import org.rowanvalve.control.placement.PlacementPlan;
 import org.rowanvalve.control.store.ItemStore;
 
-/** What the chosen items mean for requests: routes, services, purges and origins, built anew after each change. */
+/**
+ * The chosen items indexed for request processing: routes, services, purges, origins, limits and the placement plan.
+ * The view is updated whenever an item changes.
+ */
 public final class ConfigurationView {
     private final ItemStore items;
     private final Map<String, Service> services = new TreeMap<>();
@@ -28,12 +31,12 @@
     private volatile RequestLimits limits = RequestLimits.DEFAULTS;
     private PlacementPlan plan = new PlacementPlan(0, 0, List.of());
 
-    /** The version of a tag's newest purge, and when this node learned of it. */
+    /** The version of the newest purge of a tag, and the time at which this node learned it. */
     public record TagPurge(long version, long learnedAt) {}
 
     private record PrefixPurge(Purge purge, Version version) {}
 
-    /** Follows {@code items} from now on. */
+    /** Subscribes to {@code items}: each later change of an item updates this view. */
     public ConfigurationView(final ItemStore items) {
         this.items = items;
         items.addListener(this::onItem);
@@ -80,7 +83,7 @@
             tagPurges.merge(
                     purge.tag(),
                     new TagPurge(item.version().number(), items.now()),
-                    (a, b) -> a.version() >= b.version() ? a : b);
+                    (first, second) -> first.version() >= second.version() ? first : second);
         } else if (purge.host() != null) {
             hostPathPurges
                     .computeIfAbsent(purge.host() + "|" + purge.path(), k -> new TreeMap<>())
@@ -89,28 +92,31 @@
         return purge.isHostOrTag();
     }
 
-    /** A dropped purge of a host's path or of a tag is found by its name, since its body is gone too. */
+    /**
+     * Removes a garbage-collected purge of a host's path or of a tag. Its body is gone too, so it is found by the
+     * item's name.
+     */
     private void removePurge(final Item item) {
         final String key = "p/" + item.id().name();
-        hostPathPurges.values().removeIf(m -> m.remove(key) != null && m.isEmpty());
-        tagPurges.values().removeIf(t -> items.collectionFloor().covers(item.id(), t.version()));
+        hostPathPurges.values().removeIf(versions -> versions.remove(key) != null && versions.isEmpty());
+        tagPurges.values().removeIf(purge -> items.collectionFloor().covers(item.id(), purge.version()));
     }
 
-    /** A deleted purge keeps its body: a copy older than it must not become valid again. */
+    /** Deleting a purge keeps its body, because a cached copy older than the purge must not become valid again. */
     private void onPurge(final Item item) {
         if (recordHostOrTagPurge(item)) {
             return;
         }
-        final Purge was = purges.remove(item.id());
-        if (was == null && item.version().number() == 0) {
+        final Purge previous = purges.remove(item.id());
+        if (previous == null && item.version().number() == 0) {
             removePurge(item);
         }
-        if (was != null) {
+        if (previous != null) {
             pathPurges
-                    .getOrDefault(was.route(), Map.of())
-                    .getOrDefault(String.valueOf(was.path()), new HashMap<>())
+                    .getOrDefault(previous.route(), Map.of())
+                    .getOrDefault(String.valueOf(previous.path()), new HashMap<>())
                     .remove(item.id());
-            prefixPurges.getOrDefault(was.route(), new HashMap<>()).remove(item.id());
+            prefixPurges.getOrDefault(previous.route(), new HashMap<>()).remove(item.id());
         }
         if (!item.body().isEmpty()) {
             final Purge purge = Json.read(item.body(), Purge.class);
@@ -128,17 +134,20 @@
         }
     }
 
-    /** The longest prefix among the host's own routes; routes that name no host take what those leave. */
+    /**
+     * Returns the route with the longest matching prefix among the host's own routes, or among the routes without a
+     * host if none of the host's own routes matches.
+     */
     public Optional<ConfiguredRoute> route(final String host, final String path) {
         return routes.ofHost(host).stream()
-                .filter(r -> r.route().matches(path))
+                .filter(configured -> configured.route().matches(path))
                 .findFirst()
                 .or(() -> routes.ofHost("").stream()
-                        .filter(r -> r.route().matches(path))
+                        .filter(configured -> configured.route().matches(path))
                         .findFirst());
     }
 
-    /** The route of a path among those that name no host. */
+    /** Returns the route of a path among the routes without a host. */
     public Optional<ConfiguredRoute> route(final String path) {
         return route("", path);
     }
@@ -147,18 +156,18 @@
         return limits;
     }
 
-    /** The newest purge of a tag; version 0 where there was none. */
+    /** Returns the newest purge of a tag, with version 0 if the tag was never purged. */
     public TagPurge tagPurge(final String tag) {
         return tagPurges.getOrDefault(tag, new TagPurge(0, Long.MIN_VALUE / 2));
     }
 
-    /** Whether no tag of a version vector has been purged since. */
-    public boolean areTagsCurrent(final Map<String, Long> marked) {
-        return marked.entrySet().stream()
+    /** Whether none of these tags has been purged at a version above the given one. */
+    public boolean areTagsCurrent(final Map<String, Long> tagVersions) {
+        return tagVersions.entrySet().stream()
                 .allMatch(entry -> tagPurge(entry.getKey()).version() <= entry.getValue());
     }
 
-    /** The route of this name, if it can be served. */
+    /** Returns the route of this name if its requests can be served. */
     public Optional<ConfiguredRoute> routeNamed(final String name) {
         return routes.named(name).filter(ConfiguredRoute::isUsable);
     }
@@ -167,7 +176,7 @@
         return plan;
     }
 
-    /** All routes, in the order in which they are tried. */
+    /** Returns all routes in the order in which they are matched. */
     public List<ConfiguredRoute> routesByPrecedence() {
         return routes.byPrecedence();
     }
@@ -176,7 +185,7 @@
         return !routes.isEmpty();
     }
 
-    /** The longest time for which a copy that a purge may concern is kept. */
+    /** Returns the longest time to live of a cached copy that a purge can invalidate. */
     public long longestPurgeableTtlMs() {
         long longest = 0;
         for (final Route route : routes.all()) {
@@ -193,55 +202,60 @@
         return services.keySet();
     }
 
-    /** When this node learned the item's version, in ms of its monotonic clock. */
+    /** Returns the time at which this node learned the item's version, in ms of its monotonic clock. */
     public long learnedAt(final ItemId id) {
         return items.learnedAt(id);
     }
 
-    /** The service of this name, or null. */
+    /** Returns the service of this name, or null. */
     public Service service(final String name) {
         return services.get(name);
     }
 
     /**
-     * The versions that a copy of this path has to be filled under: of the route, and of every purge that concerns it.
+     * Returns the versions that a cached copy of this path must cover: the versions of the purges that apply to the
+     * path and, for a route without a host, the version of the route.
      */
-    public VersionVector versionsOf(final ConfiguredRoute row, final String path) {
-        final Map<String, Long> vers = new TreeMap<>();
+    public VersionVector versionsOf(final ConfiguredRoute configured, final String path) {
+        final Map<String, Long> versions = new TreeMap<>();
         pathPurges
-                .getOrDefault(row.name(), Map.of())
+                .getOrDefault(configured.name(), Map.of())
                 .getOrDefault(path, Map.of())
-                .forEach((id, version) -> vers.put("p/" + id.name(), version.number()));
-        prefixPurges.getOrDefault(row.name(), Map.of()).forEach((id, w) -> {
-            if (w.purge().touches(row.name(), path)) {
-                vers.put("p/" + id.name(), w.version().number());
+                .forEach((id, version) -> versions.put("p/" + id.name(), version.number()));
+        prefixPurges.getOrDefault(configured.name(), Map.of()).forEach((id, prefixPurge) -> {
+            if (prefixPurge.purge().touches(configured.name(), path)) {
+                versions.put("p/" + id.name(), prefixPurge.version().number());
             }
         });
-        if (row.route().host().isEmpty()) {
-            vers.put(
-                    "r/" + row.name(),
-                    items.get(new ItemId(ItemKind.ROUTE, row.name())).version().number());
+        if (configured.route().host().isEmpty()) {
+            versions.put(
+                    "r/" + configured.name(),
+                    items.get(new ItemId(ItemKind.ROUTE, configured.name()))
+                            .version()
+                            .number());
         } else {
-            vers.putAll(hostPathPurges.getOrDefault(row.route().host() + "|" + path, Map.of()));
+            versions.putAll(hostPathPurges.getOrDefault(configured.route().host() + "|" + path, Map.of()));
         }
-        return new VersionVector(vers);
+        return new VersionVector(versions);
     }
 
-    /** Origins that are announced, not leaving, and heard from within their time to live. */
+    /**
+     * Returns the announced origins of a service that are not draining and were heard from within their time to live.
+     */
     public Map<ItemId, Origin> liveOrigins(final String service, final long now) {
-        final Map<ItemId, Origin> map = new TreeMap<>();
+        final Map<ItemId, Origin> live = new TreeMap<>();
         origins.forEach((id, origin) -> {
             if (origin.service().equals(service) && origin.isLive(now - items.learnedAt(id))) {
-                map.put(id, origin);
+                live.put(id, origin);
             }
         });
-        return map;
+        return live;
     }
 
-    /** How long a keyed request may take at most. */
+    /** Returns the longest time-out of the routes for keyed requests, in ms; 0 if there is no such route. */
     public long longestKeyedTimeoutMs() {
         return routesByPrecedence().stream()
-                .filter(r -> r.route().hasMode(RouteMode.KEYED) && r.service() != null)
+                .filter(configured -> configured.route().hasMode(RouteMode.KEYED) && configured.service() != null)
                 .mapToLong(ConfiguredRoute::timeoutMs)
                 .max()
                 .orElse(0);
--- a/control/src/main/java/org/rowanvalve/control/config/Origin.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Origin.java
@@ -3,9 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * An origin as it announced itself. {@code location}: its zone; {@code slots}: requests that it works on at once, 0
- * where it does not say; {@code warmUpMs}: how much longer it was slow after its start when it said so; {@code ttlMs}:
- * 0 where its heartbeats are counted elsewhere.
+ * An origin as it announced itself.
+ *
+ * @param ttlMs how long the origin is live after an announcement, in ms; 0 if its heartbeats are tracked elsewhere
+ * @param location the zone of the origin
+ * @param slots the number of requests that the origin processes concurrently; 0 if it does not state a number
+ * @param warmUpMs the warm-up time after a start that remained at the announcement, in ms
  */
 public record Origin(
         String service,
@@ -38,26 +41,27 @@
         this(service, host, port, instance, kind, load, ttlMs, draining, sequence, "", 0, 0);
     }
 
-    /** An origin that sends heartbeats, of a service whose kind is open. */
+    /** Creates an origin that sends heartbeats and belongs to a service of the kind {@link ServiceKind#OPEN}. */
     public static Origin heartbeating(
             final String service,
             final String host,
             final int port,
-            final String stamp,
-            final boolean leaving,
-            final long beat,
-            final String cell,
+            final String instance,
+            final boolean draining,
+            final long sequence,
+            final String location,
             final int slots,
-            final long coldMs) {
-        return new Origin(service, host, port, stamp, ServiceKind.OPEN, 0, 0, leaving, beat, cell, slots, coldMs);
+            final long warmUpMs) {
+        return new Origin(
+                service, host, port, instance, ServiceKind.OPEN, 0, 0, draining, sequence, location, slots, warmUpMs);
     }
 
-    /** The same origin after its end: no later heartbeat replaces this state. */
+    /** Returns the state of this origin after its process ended. No later heartbeat replaces this state. */
     public Origin ended() {
         return new Origin(service, host, port, instance, kind, load, ttlMs, true, Long.MAX_VALUE, location, slots, 0);
     }
 
-    /** Whether the other announcement is of the same process at the same address. */
+    /** Whether the other announcement came from the same process at the same address. */
     public boolean isSameProcess(final Origin origin) {
         return origin != null
                 && service.equals(origin.service)
@@ -66,7 +70,7 @@
                 && instance.equals(origin.instance);
     }
 
-    /** Whether it takes requests; {@code age}: time since it was last heard from, in ms. */
+    /** Whether the origin takes requests; {@code age} is the time since it was last heard from, in ms. */
     public boolean isLive(final long age) {
         return !draining && (ttlMs <= 0 || age < ttlMs);
     }
--- a/control/src/main/java/org/rowanvalve/control/config/Purge.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Purge.java
@@ -1,13 +1,13 @@
 package org.rowanvalve.control.config;
 
-/** Names a route's path or prefix, or a host's path, or a tag that origins gave their answers. */
+/** A purge of a route's path or prefix, of a host's path, or of a tag that origins put on their responses. */
 public record Purge(String route, String path, String prefix, String host, String tag) {
-    /** Whether this purge of a route concerns the path {@code to} of the route {@code name}. */
-    public boolean touches(final String name, final String to) {
-        return route != null && route.equals(name) && (path != null ? to.equals(path) : to.startsWith(prefix));
+    /** Whether this purge applies to the path {@code target} of the route {@code name}. */
+    public boolean touches(final String name, final String target) {
+        return route != null && route.equals(name) && (path != null ? target.equals(path) : target.startsWith(prefix));
     }
 
-    /** Of a host's path or of a tag, so of no route. */
+    /** Whether this is a purge of a host's path or of a tag, which names no route. */
     public boolean isHostOrTag() {
         return route == null;
     }
--- a/control/src/main/java/org/rowanvalve/control/config/RequestLimits.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RequestLimits.java
@@ -7,7 +7,11 @@
 import org.rowanvalve.common.model.ItemKind;
 import org.rowanvalve.control.json.Json;
 
-/** What a caller may send and how long it may take, in bytes and milliseconds; {@code note}: the operator's own words. */
+/**
+ * The limits on a client's request: sizes in bytes, time-outs in milliseconds.
+ *
+ * @param note free text of the operator
+ */
 public record RequestLimits(
         @JsonProperty("headBytes") int headerBytes,
         int bodyBytes,
@@ -21,11 +25,11 @@
         note = note == null ? "" : note;
     }
 
-    /** The limits of the item, or the defaults where it does not exist. */
+    /** Returns the limits in the item, or the defaults if the item does not exist. */
     public static RequestLimits of(final Item item) {
         return Optional.of(item)
                 .filter(Item::exists)
-                .map(i -> Json.read(i.body(), RequestLimits.class))
+                .map(existing -> Json.read(existing.body(), RequestLimits.class))
                 .orElse(DEFAULTS);
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/config/Route.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Route.java
@@ -5,9 +5,13 @@
 import java.util.stream.Stream;
 
 /**
- * A route: which paths of a host go to which service, and how. {@code service} takes all where {@code split} is empty;
- * {@code anyShield}: what needs no right to fill may go through any shield; {@code priority}: 0 is refused last; {@code maxAttempts}:
- * origins that one request may be sent to; {@code note}: the operator's own words, kept as they came.
+ * A route sends the requests for a path prefix of a host to a service.
+ *
+ * @param service the service that takes all requests if {@code split} is empty
+ * @param anyShield whether requests that need no lease may go through any shield
+ * @param priority requests of the priority 0 are rejected last
+ * @param maxAttempts the number of origins that one request may be sent to
+ * @param note free text of the operator, stored unchanged
  */
 public record Route(
         String prefix,
@@ -25,18 +29,23 @@
         @JsonProperty("tries") int maxAttempts,
         String note) {
 
-    /** One service of a route that is split over several, with its weight. */
+    private static final int DEFAULT_MAX_ATTEMPTS = 3;
+
+    /** One service of a route whose requests are split over several services, with its weight. */
     public record WeightedService(String service, int weight) {}
 
     public Route {
         condition = condition == null ? "" : condition;
         host = host == null ? "" : host;
         split = split == null ? List.of() : List.copyOf(split);
-        maxAttempts = maxAttempts <= 0 ? 3 : maxAttempts;
+        maxAttempts = maxAttempts <= 0 ? DEFAULT_MAX_ATTEMPTS : maxAttempts;
         note = note == null ? "" : note;
     }
 
-    /** The route as requests need it: without the operator's own words, and with names that many routes share. */
+    /**
+     * Returns a copy for request processing that takes less memory: without the note, and with interned names, since
+     * many routes name the same service and host.
+     */
     Route forRequests() {
         return new Route(
                 prefix,
@@ -63,7 +72,7 @@
         return mode == other;
     }
 
-    /** All services that may get requests of this route. */
+    /** Returns the services that may get requests of this route: a service of weight 0 gets none. */
     public List<String> services() {
         return split.isEmpty()
                 ? List.of(service)
@@ -73,31 +82,34 @@
                         .toList();
     }
 
-    /** All services that it names, also those that get nothing now. */
+    /** Returns all services that this route names, including those of weight 0. */
     public List<String> namedServices() {
         return Stream.concat(Stream.of(service), split.stream().map(WeightedService::service))
                 .distinct()
                 .toList();
     }
 
-    /** One of them by weight; {@code roll} is any number. */
+    /** Selects a service by weight; {@code roll} is an arbitrary number, such as a hash of the request. */
     public String pickService(final long roll) {
         if (split.isEmpty()) {
             return service;
         }
-        long at = Long.remainderUnsigned(
+        long offset = Long.remainderUnsigned(
                 roll,
                 Math.max(1, split.stream().mapToLong(WeightedService::weight).sum()));
         for (final WeightedService weighted : split) {
-            if (at < weighted.weight()) {
+            if (offset < weighted.weight()) {
                 return weighted.service();
             }
-            at -= weighted.weight();
+            offset -= weighted.weight();
         }
         return split.get(0).service();
     }
 
-    /** What names an object or an operation on every node, whatever route takes it now. */
+    /**
+     * Returns the key that identifies an object or an operation on every node. For a route with a host the key does not
+     * depend on the route that matches the target.
+     */
     public String cacheKeyOf(final String name, final String target) {
         return host.isEmpty() ? name + "|" + target : host + "|" + target;
     }
--- a/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteCondition.java
@@ -12,12 +12,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A route's condition on a request, in CEL without macros: no loops, so its cost is bounded by its length and the request's. */
+/**
+ * A route's condition on a request, in CEL without macros. Without macros there are no loops, so the cost of an
+ * evaluation is bounded by the length of the expression and the size of the request.
+ */
 public final class RouteCondition {
     public static final int MAX_LENGTH = 400;
     private final CelRuntime.Program program;
 
-    /** What a condition says of one request; {@code UNDECIDED} where it cannot be evaluated. */
+    /** The result of a condition for one request; {@code UNDECIDED} if the condition cannot be evaluated. */
     public enum Result {
         HOLDS,
         DOES_NOT_HOLD,
@@ -47,7 +50,7 @@
         this.program = program;
     }
 
-    /** What is wrong with an expression, or nothing. */
+    /** Returns the first error of an expression, or nothing if the expression is valid. */
     public static Optional<String> error(final String text) {
         if (text.length() > MAX_LENGTH) {
             return Optional.of("at most " + MAX_LENGTH + " characters");
@@ -62,7 +65,10 @@
                 : Optional.empty();
     }
 
-    /** Of an expression that was found sound; one of a later version that is not sound here judges nothing. */
+    /**
+     * Creates the condition of a validated expression. An expression that is valid only in a later release yields a
+     * condition that is always {@link Result#UNDECIDED}.
+     */
     public static RouteCondition of(final String text) {
         try {
             return new RouteCondition(CelEnvironment.RUNTIME.createProgram(
@@ -73,26 +79,26 @@
     }
 
     /**
-     * Evaluates the condition on one request; {@code target} includes the query, {@code size} is that of the body in
-     * bytes.
+     * Evaluates the condition for one request; {@code target} includes the query, {@code size} is the size of the body
+     * in bytes.
      */
     public Result evaluate(final String method, final String target, final String key, final int size) {
-        final int cut = target.indexOf('?');
+        final int queryStart = target.indexOf('?');
         try {
-            final Object got = program == null
+            final Object value = program == null
                     ? null
                     : program.eval(Map.of(
                             "method",
                             method,
                             "path",
-                            cut < 0 ? target : target.substring(0, cut),
+                            queryStart < 0 ? target : target.substring(0, queryStart),
                             "query",
-                            cut < 0 ? "" : target.substring(cut + 1),
+                            queryStart < 0 ? "" : target.substring(queryStart + 1),
                             "key",
                             key == null ? "" : key,
                             "size",
                             (long) size));
-            return got instanceof Boolean b ? b ? Result.HOLDS : Result.DOES_NOT_HOLD : Result.UNDECIDED;
+            return value instanceof Boolean holds ? holds ? Result.HOLDS : Result.DOES_NOT_HOLD : Result.UNDECIDED;
         } catch (final CelEvaluationException e) {
             return Result.UNDECIDED;
         }
--- a/control/src/main/java/org/rowanvalve/control/config/RouteMode.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteMode.java
@@ -5,15 +5,15 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** How the requests of a route are treated. */
+/** How the requests of a route are executed and whether their responses are cached. */
 public enum RouteMode {
-    /** Responses may be kept and given to other clients. */
+    /** Responses may be cached and served to other clients. */
     CACHED("cached"),
-    /** Idempotent and never kept. */
+    /** Requests are idempotent, and their responses are never cached. */
     STATUS("status"),
-    /** Executed at most once for each key within the key window. */
+    /** A request is executed at most once for each key within the key window. */
     KEYED("once"),
-    /** Executed at most once for each request; without a key. */
+    /** A request has no key and is executed at most once. */
     AT_MOST_ONCE("single");
 
     private final String code;
@@ -22,18 +22,18 @@
         this.code = code;
     }
 
-    /** The name in a configuration; it never changes. */
+    /** Returns the name in a configuration, which never changes. */
     @JsonValue
     public String code() {
         return code;
     }
 
-    /** The names of all. */
+    /** Returns the names of all modes. */
     public static Set<String> codes() {
         return Arrays.stream(values()).map(RouteMode::code).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** The mode of this name, or null where there is none. */
+    /** Returns the mode of this name, or null if no mode has it. */
     public static RouteMode ofCode(final String code) {
         return Arrays.stream(values())
                 .filter(mode -> mode.code.equals(code))
--- a/control/src/main/java/org/rowanvalve/control/config/RouteTable.java
+++ b/control/src/main/java/org/rowanvalve/control/config/RouteTable.java
@@ -13,8 +13,8 @@
 import java.util.function.Function;
 
 /**
- * The routes with the services they lead to, by host and by name. A change costs as much as its host has routes, at the
- * next look at that host.
+ * The routes and their services, indexed by host and by name. A change only marks its host as changed; the next lookup
+ * of that host rebuilds the list of the host's routes.
  */
 final class RouteTable {
     private static final Comparator<ConfiguredRoute> PRECEDENCE = Comparator.comparingInt(
@@ -27,7 +27,7 @@
     private final Map<String, List<ConfiguredRoute>> configuredByHost = new HashMap<>();
     private final Set<String> changedHosts = new HashSet<>();
 
-    /** {@code services}: the service of a name, or null. */
+    /** {@code services} returns the service of a name, or null. */
     RouteTable(final Function<String, Service> services) {
         this.services = services;
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Some service has changed: each route is looked at anew. */
+    /** Marks all hosts as changed, since any route may name the service that changed. */
     void onServiceChange() {
         changedHosts.addAll(namesByHost.keySet());
     }
@@ -63,12 +63,12 @@
         return routes.isEmpty();
     }
 
-    /** The routes themselves, in no order. */
+    /** Returns all routes in no particular order. */
     Iterable<Route> all() {
         return routes.values();
     }
 
-    /** The routes of a host, in the order in which they are tried. */
+    /** Returns the routes of a host in the order in which they are matched. */
     List<ConfiguredRoute> ofHost(final String host) {
         if (changedHosts.remove(host)) {
             configure(host);
@@ -76,7 +76,7 @@
         return configuredByHost.getOrDefault(host, List.of());
     }
 
-    /** The route of this name, whether it can be served or not. */
+    /** Returns the route of this name, even if its requests cannot be served. */
     Optional<ConfiguredRoute> named(final String name) {
         final Route route = routes.get(name);
         return route == null
@@ -86,12 +86,12 @@
                         .findFirst();
     }
 
-    /** All routes, in the order in which they are tried. */
+    /** Returns the routes of all hosts in the order in which they are matched. */
     List<ConfiguredRoute> byPrecedence() {
-        final List<ConfiguredRoute> all = new ArrayList<>();
-        namesByHost.keySet().forEach(host -> all.addAll(ofHost(host)));
-        all.sort(PRECEDENCE);
-        return all;
+        final List<ConfiguredRoute> ordered = new ArrayList<>();
+        namesByHost.keySet().forEach(host -> ordered.addAll(ofHost(host)));
+        ordered.sort(PRECEDENCE);
+        return ordered;
     }
 
     private void configure(final String host) {
--- a/control/src/main/java/org/rowanvalve/control/config/Service.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Service.java
@@ -3,8 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * {@code ratePerOrigin}: requests a second for each origin; {@code rateLimit}: for all of them together, 0 where there is none;
- * {@code connectionLimit}: connections that an origin takes from all callers; {@code note}: the operator's own words.
+ * A service and the limits of its origins.
+ *
+ * @param ratePerOrigin requests per second for each origin
+ * @param rateLimit requests per second for all origins together; 0 if there is no limit
+ * @param connectionLimit the number of connections that an origin accepts from all callers together
+ * @param note free text of the operator
  */
 public record Service(
         ServiceKind kind,
--- a/control/src/main/java/org/rowanvalve/control/config/ServiceKind.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ServiceKind.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** What the origins of a service are. */
+/** The kind of a service's origins. */
 public enum ServiceKind {
-    /** A content store: read only, with a rate for each origin. */
+    /** A read-only content store with a rate limit for each origin. */
     CONTENT("content"),
     /** An application that takes keyed requests. */
     BOOKING("booking"),
-    /** Nothing is known beforehand; its routes say what is allowed. */
+    /** An origin without presumed properties; the routes of the service state which requests are allowed. */
     OPEN("open");
 
     private final String code;
@@ -20,18 +20,18 @@
         this.code = code;
     }
 
-    /** The name in a configuration; it never changes. */
+    /** Returns the name in a configuration, which never changes. */
     @JsonValue
     public String code() {
         return code;
     }
 
-    /** The names of all. */
+    /** Returns the names of all kinds. */
     public static Set<String> codes() {
         return Arrays.stream(values()).map(ServiceKind::code).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** The kind of this name, or null where there is none. */
+    /** Returns the kind of this name, or null if no kind has it. */
     public static ServiceKind ofCode(final String code) {
         return Arrays.stream(values())
                 .filter(kind -> kind.code.equals(code))
--- a/control/src/main/java/org/rowanvalve/control/config/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/config/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What operators declare: routes, services, purges, limits, origins, how they are read and checked, and the view of
- * them that requests use.
+ * The configuration: routes, services, purges and limits that operators declare, announced origins, parsing and
+ * validation, and the indexed view that request processing uses.
  *
  * <p>Depends on {@code control.json}, {@code control.placement} and {@code control.store}.
  */
--- a/control/src/main/java/org/rowanvalve/control/membership/ClockSkewMonitor.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/ClockSkewMonitor.java
@@ -6,7 +6,10 @@
 import org.rowanvalve.common.model.LeaseTimings;
 import org.rowanvalve.common.model.NodeId;
 
-/** Compares this clock's rate with its peers' over a window of heartbeats; the bound holds over D + 2M. */
+/**
+ * Compares the rate of this node's clock with the rates of its peers' clocks over a window of heartbeats. Skew is given
+ * as the drift over D + 2M, the time after which a lease may be granted to another holder.
+ */
 public final class ClockSkewMonitor {
     private static final long WINDOW_MS = 20_000;
     private static final long MIN_SPAN_MS = 8_000;
@@ -20,8 +23,11 @@
     }
 
     /**
-     * One heartbeat with its response. {@code sentAt}, {@code receivedAt}: on this node's monotonic clock, in ms;
-     * {@code peerClock}: the peer's monotonic clock when it responded.
+     * Adds a heartbeat and its response.
+     *
+     * @param sentAt the time of the heartbeat on this node's monotonic clock, in ms
+     * @param receivedAt the time of the response on this node's monotonic clock, in ms
+     * @param peerClock the peer's monotonic clock when it responded, in ms
      */
     public void addSample(final NodeId peer, final long sentAt, final long receivedAt, final long peerClock) {
         final ArrayDeque<Sample> window = samples.computeIfAbsent(peer, k -> new ArrayDeque<>());
@@ -35,7 +41,10 @@
         }
     }
 
-    /** The drift from one peer that the samples prove, in ms over D + 2M; zero while too little is known. */
+    /**
+     * Returns the drift from one peer that the samples prove, in ms over D + 2M; 0 while the samples span too short a
+     * time.
+     */
     public long provenSkewMs(final NodeId peer) {
         final ArrayDeque<Sample> window = samples.get(peer);
         if (window == null || window.isEmpty()) {
@@ -53,14 +62,17 @@
         return Math.max(0, skew) * (timings.leaseMs() + 2 * timings.marginMs()) / span;
     }
 
-    /** The drift from most peers: one peer with a bad clock does not condemn this one. */
+    /**
+     * Returns the median drift from all peers, so that one peer with a faulty clock does not discredit this node's
+     * clock.
+     */
     public long medianSkewMs() {
-        final long[] all =
+        final long[] skews =
                 samples.keySet().stream().mapToLong(this::provenSkewMs).sorted().toArray();
-        return all.length == 0 ? 0 : all[(all.length - 1) / 2];
+        return skews.length == 0 ? 0 : skews[(skews.length - 1) / 2];
     }
 
-    /** Whether this node's clock drifts by more than half of M from most peers. */
+    /** Whether this node's clock drifts by half of M or more from most of its peers. */
     public boolean exceedsBound() {
         return medianSkewMs() >= timings.marginMs() / 2;
     }
--- a/control/src/main/java/org/rowanvalve/control/membership/HeartbeatClockMonitor.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/HeartbeatClockMonitor.java
@@ -7,13 +7,17 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * Other nodes' clocks, judged by one-way heartbeats. A heartbeat may come late but never early, so only the promptest
- * of the older and of the newer half of the window are compared: heartbeats that a partition delayed prove nothing.
+ * Estimates the skew of other nodes' clocks from one-way heartbeats. A heartbeat can be delayed but never arrives
+ * early, so only the least delayed heartbeats of the older and of the newer half of the window are compared. Heartbeats
+ * that a partition delayed prove nothing.
  */
 public final class HeartbeatClockMonitor {
     private static final long WINDOW_MS = 20_000;
     private static final long MIN_SPAN_MS = 4_000;
     private static final long TOLERANCE_MS = 200;
+    /** A longer time without heartbeats counts as an interruption. */
+    private static final long INTERRUPTION_MS = 1500;
+
     private final LeaseTimings timings;
     private final Map<NodeId, ArrayDeque<Sample>> samples = new HashMap<>();
 
@@ -27,7 +31,10 @@
         this.timings = timings;
     }
 
-    /** One heartbeat: {@code now} on this node's clock, {@code peerClock} on the sender's, both in ms. */
+    /**
+     * Adds a heartbeat received at {@code now} on this node's clock and sent at {@code peerClock} on the sender's, in
+     * ms.
+     */
     public void addSample(final NodeId peer, final long now, final long peerClock) {
         final ArrayDeque<Sample> window = samples.computeIfAbsent(peer, k -> new ArrayDeque<>());
         if (!window.isEmpty() && peerClock < window.peekLast().peerClock()) {
@@ -39,19 +46,22 @@
         }
     }
 
-    private static Sample promptest(final ArrayDeque<Sample> window, final long from, final long to) {
+    private static Sample leastDelayed(final ArrayDeque<Sample> window, final long from, final long to) {
         return window.stream()
                 .filter(sample -> sample.ownClock() >= from && sample.ownClock() < to)
                 .min(java.util.Comparator.comparingLong(Sample::delay))
                 .orElse(null);
     }
 
-    /** When heartbeats were last received again after a silence; delayed ones arrive then, all at once. */
+    /**
+     * Returns the time of the first heartbeat after the last interruption. Heartbeats that the interruption delayed
+     * arrive then, all at once.
+     */
     private static long resumedAt(final ArrayDeque<Sample> window) {
         long last = window.peekFirst().ownClock();
         long resumedAt = last;
         for (final Sample sample : window) {
-            if (sample.ownClock() - last > 1500) {
+            if (sample.ownClock() - last > INTERRUPTION_MS) {
                 resumedAt = sample.ownClock();
             }
             last = sample.ownClock();
@@ -59,16 +69,16 @@
         return resumedAt;
     }
 
-    /** The drift that the heartbeats prove, in ms over D + 2M; zero while too little is known. */
+    /** Returns the drift that the heartbeats prove, in ms over D + 2M; 0 while the samples span too short a time. */
     public long provenSkewMs(final NodeId peer) {
         final ArrayDeque<Sample> window = samples.get(peer);
         if (window == null || window.isEmpty()) {
             return 0;
         }
         final long end = window.peekLast().ownClock();
-        final long mid = (window.peekFirst().ownClock() + end) / 2;
-        final Sample earlier = promptest(window, Long.MIN_VALUE, mid);
-        final Sample later = promptest(window, mid, Long.MAX_VALUE);
+        final long middle = (window.peekFirst().ownClock() + end) / 2;
+        final Sample earlier = leastDelayed(window, Long.MIN_VALUE, middle);
+        final Sample later = leastDelayed(window, middle, Long.MAX_VALUE);
         if (earlier == null
                 || end - resumedAt(window) < MIN_SPAN_MS / 2
                 || later.ownClock() - earlier.ownClock() < MIN_SPAN_MS
--- a/control/src/main/java/org/rowanvalve/control/membership/MemberTable.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/MemberTable.java
@@ -13,8 +13,8 @@
 import org.rowanvalve.common.model.Role;
 
 /**
- * All members ever heard from, each at a place that it keeps. Changes are numbered, so that another node can ask for
- * those it has not seen. Edges have places below zero: nothing depends on how long they have been silent, so only long
+ * All members ever heard from, each at a fixed position. Changes are numbered, so that another node can request those
+ * that it has not seen. Edges have negative positions: nothing depends on the exact silence of an edge, so only long
  * silences of edges are reported.
  */
 final class MemberTable {
@@ -53,8 +53,11 @@
         this.failureTimeoutMs = failureTimeoutMs;
     }
 
-    /** What a report about a member changed: whether the member is new or back, and whether its address is new. */
-    record Noted(boolean appeared, boolean addressChanged) {}
+    /**
+     * The effect of a report about a member: whether the member is new or has returned, and whether its address
+     * changed.
+     */
+    record RecordResult(boolean appeared, boolean addressChanged) {}
 
     private Row addRow(final Role role) {
         final List<Row> list = role == Role.EDGE ? edgeRows : coreRows;
@@ -63,24 +66,25 @@
         return row;
     }
 
-    /** A report older than the last one changes nothing. */
-    Noted record(final Member member, final long heard, final long now) {
+    /** Records when a member was heard from. A report older than the last one of this member is ignored. */
+    RecordResult record(final Member member, final long heardAt, final long now) {
         final Row row = rows.computeIfAbsent(member.id(), k -> addRow(member.role()));
-        if (heard < row.heardAt) {
-            return new Noted(false, false);
+        if (heardAt < row.heardAt) {
+            return new RecordResult(false, false);
         }
         final Member previous = row.member;
         if (!member.equals(previous) || row.isGone() || now - row.heardAt > failureTimeoutMs) {
             row.changeNumber = ++lastChange;
         }
         row.member = member;
-        row.heardAt = heard;
-        final boolean seen = row.isGone();
-        if (seen) {
+        row.heardAt = heardAt;
+        final boolean appeared = row.isGone();
+        if (appeared) {
             row.aliveSince = now;
         }
-        return new Noted(
-                seen, previous == null || !previous.host().equals(member.host()) || previous.port() != member.port());
+        return new RecordResult(
+                appeared,
+                previous == null || !previous.host().equals(member.host()) || previous.port() != member.port());
     }
 
     void recordContact(final NodeId id, final long now) {
@@ -91,17 +95,17 @@
         }
     }
 
-    /** Those that have become silent since the last call. */
+    /** Marks the members whose failure time-out has passed as gone, and returns those that were not gone before. */
     List<NodeId> collectLost(final long now) {
-        final List<NodeId> list = new ArrayList<>();
+        final List<NodeId> lost = new ArrayList<>();
         for (final Row row : rows.values()) {
             if (!row.isGone() && now - row.heardAt > failureTimeoutMs) {
                 row.aliveSince = NEVER;
                 row.changeNumber = ++lastChange;
-                list.add(row.member.id());
+                lost.add(row.member.id());
             }
         }
-        return list;
+        return lost;
     }
 
     boolean isAlive(final Row row, final long now) {
@@ -117,7 +121,7 @@
         return row == null || row.isGone() ? 0 : now - row.aliveSince;
     }
 
-    /** All members, by id. */
+    /** Returns all members in the order of their ids. */
     Collection<Row> all() {
         return rows.values();
     }
@@ -126,38 +130,44 @@
         return lastChange;
     }
 
-    /** What changed after {@code since}; one that is lost but not gone yet counts as changed once it is back or gone. */
+    /**
+     * Returns the changes after the change number {@code since}. A silent member that is not marked as gone yet is left
+     * out; it is returned once it was heard from again or is marked as gone.
+     */
     List<MembershipChange> changesSince(final long since, final long now) {
-        final List<MembershipChange> list = new ArrayList<>();
+        final List<MembershipChange> changes = new ArrayList<>();
         if (since < lastChange) {
             for (final Row row : rows.values()) {
                 if (row.changeNumber > since && (isAlive(row, now) || row.isGone() && since > 0)) {
-                    list.add(new MembershipChange(row.position, isAlive(row, now) ? row.member : null));
+                    changes.add(new MembershipChange(row.position, isAlive(row, now) ? row.member : null));
                 }
             }
         }
-        return list;
+        return changes;
     }
 
     private int silenceUnits(final Row row, final long now) {
-        final long ms = Math.max(0, now - row.heardAt);
-        return ms > failureTimeoutMs
+        final long silenceMs = Math.max(0, now - row.heardAt);
+        return silenceMs > failureTimeoutMs
                 ? HeartbeatResponse.LOST_UNITS
                 : (int) Math.min(
                         HeartbeatResponse.LOST_UNITS,
-                        (ms + HeartbeatResponse.SILENCE_UNIT_MS - 1) / HeartbeatResponse.SILENCE_UNIT_MS);
+                        (silenceMs + HeartbeatResponse.SILENCE_UNIT_MS - 1) / HeartbeatResponse.SILENCE_UNIT_MS);
     }
 
-    /** The silence of all members but edges, by place. */
+    /** Returns the silence of each member that is not an edge, indexed by position. */
     byte[] coreSilences(final long now) {
-        final byte[] all = new byte[coreRows.size()];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = (byte) silenceUnits(coreRows.get(i), now);
+        final byte[] silences = new byte[coreRows.size()];
+        for (int i = 0; i < silences.length; i++) {
+            silences[i] = (byte) silenceUnits(coreRows.get(i), now);
         }
-        return all;
+        return silences;
     }
 
-    /** Edges that are not gone and have been silent for longer than {@link HeartbeatResponse#DEFAULT_EDGE_SILENCE_MS}. */
+    /**
+     * Returns the edges that are not gone and were silent for longer than {@link
+     * HeartbeatResponse#DEFAULT_EDGE_SILENCE_MS}.
+     */
     List<EdgeSilence> edgeSilences(final long now) {
         return edgeRows.stream()
                 .filter(row -> (isAlive(row, now) || !row.isGone())
--- a/control/src/main/java/org/rowanvalve/control/membership/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/Membership.java
@@ -26,15 +26,20 @@
 import org.rowanvalve.control.voting.StoreHealth;
 
 /**
- * Failure detection: every node sends heartbeats to the voters, which answer with the member list and how long each
- * member has been silent.
+ * Failure detection: every node sends heartbeats to the voters. They respond with the changes of the member list and
+ * the time for which each member has been silent.
  */
 public final class Membership {
-    /** Shields that get heartbeats as well, so that their silence is seen at first hand. */
+    /**
+     * The number of shields that get heartbeats in addition to the voters, so that this node observes them directly.
+     */
     private static final int EXTRA_SHIELDS = 3;
 
-    private static final int FEW_SHIELDS = 8;
-    private static final long CONTACT_TIMEOUT_MILLIS = 1000;
+    /** Up to this number of shields, extra shields get heartbeats even while a voter responds. */
+    private static final int MAX_SHIELDS_FOR_EXTRA_HEARTBEATS = 8;
+
+    private static final long CONTACT_TIMEOUT_MS = 1000;
+    private static final long HEARTBEAT_RESPONSE_TIMEOUT_MS = 450;
     private final Supplier<Member> self;
     private final Supplier<List<NodeId>> voters;
     private final EventLoop loop;
@@ -82,14 +87,14 @@
         loop.execute(this::sendHeartbeats);
     }
 
-    /** Reports a change of this node to the voters at once. */
+    /** Sends heartbeats immediately, so that the voters learn of a change of this node. */
     public void announce() {
         sendHeartbeats();
     }
 
     /** Whether a voter has answered a heartbeat within the time-out. */
     public boolean hasVoterContact() {
-        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MILLIS;
+        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MS;
     }
 
     private void sendHeartbeats() {
@@ -105,60 +110,62 @@
     }
 
     /**
-     * Where there are many shields, they get heartbeats only while no seed answers, and not all nodes choose the same
-     * ones.
+     * Returns the shields that get heartbeats in addition to the voters. In a network with many shields there are none
+     * while a voter responds; otherwise each node selects shields by a hash, so that nodes select different ones.
      */
     private List<NodeId> extraRecipients() {
-        final List<NodeId> list = liveMembers(Role.SHIELD).stream()
+        final List<NodeId> shields = liveMembers(Role.SHIELD).stream()
                 .map(Member::id)
-                .filter(noted -> !voters.get().contains(noted))
+                .filter(shield -> !voters.get().contains(shield))
                 .toList();
-        if (list.size() <= FEW_SHIELDS) {
-            return list.stream().limit(EXTRA_SHIELDS).toList();
+        if (shields.size() <= MAX_SHIELDS_FOR_EXTRA_HEARTBEATS) {
+            return shields.stream().limit(EXTRA_SHIELDS).toList();
         }
         return hasVoterContact()
                 ? List.of()
-                : list.stream()
+                : shields.stream()
                         .sorted(Comparator.comparingLong(
-                                noted -> Hash.hash64(ownMember().id() + "/" + noted)))
+                                shield -> Hash.hash64(ownMember().id() + "/" + shield)))
                         .limit(EXTRA_SHIELDS)
                         .toList();
     }
 
-    /** The digest is for a seed that has not answered with its list yet. */
+    /**
+     * Sends a heartbeat, with the digest of the member list only to a seed that has not responded with its list yet.
+     */
     private void sendHeartbeat(final NodeId seed, final Member ownMember) {
-        final long sent = loop.now();
+        final long sentAt = loop.now();
         final SeedMemberView view = seedViews.computeIfAbsent(seed, k -> new SeedMemberView());
-        final long roll = view.listId().isEmpty() ? memberDigest() : 0;
+        final long digest = view.listId().isEmpty() ? memberDigest() : 0;
         transport.request(
                 seed,
-                new HeartbeatRequest(ownMember, sent, itemCount.getAsInt(), roll, view.listId(), view.lastChange()),
-                450,
-                row -> row.as(HeartbeatResponse.class)
+                new HeartbeatRequest(ownMember, sentAt, itemCount.getAsInt(), digest, view.listId(), view.lastChange()),
+                HEARTBEAT_RESPONSE_TIMEOUT_MS,
+                reply -> reply.as(HeartbeatResponse.class)
                         .ifPresentOrElse(
                                 response -> {
                                     storeHealth.recordContact(seed);
                                     lastContactAt = voters.get().contains(seed) ? loop.now() : lastContactAt;
-                                    clockSkew.addSample(seed, sent, loop.now(), response.clockMs());
+                                    clockSkew.addSample(seed, sentAt, loop.now(), response.clockMs());
                                     if (response.listId() != null) {
                                         view.apply(response, this::onReport);
                                     } else {
                                         response.reports().forEach(this::onReport);
                                     }
                                 },
-                                () -> storeHealth.recordMissed(seed, sent)));
+                                () -> storeHealth.recordMissed(seed, sentAt)));
     }
 
-    /** What never changes about this node while it runs. */
+    /** Returns this node as a member, for its attributes that never change while it runs. */
     private Member ownMember() {
         ownIdentity = ownIdentity == null ? self.get() : ownIdentity;
         return ownIdentity;
     }
 
-    private void onReport(final Member member, final long silence) {
-        if (silence <= timings.failureTimeoutMs()
+    private void onReport(final Member member, final long silenceMs) {
+        if (silenceMs <= timings.failureTimeoutMs()
                 && !member.id().equals(ownMember().id())) {
-            record(member, loop.now() - silence);
+            record(member, loop.now() - silenceMs);
         }
     }
 
@@ -169,42 +176,42 @@
         }
     }
 
-    /** Two nodes with the same digest know the same members at the same addresses. */
+    /** Returns a digest that is equal on two nodes if they know the same members at the same addresses. */
     private long memberDigest() {
         return liveMembers().stream()
                 .mapToLong(member -> Hash.hash64(member.with(NodeStatus.READY).toString()))
-                .reduce(0, (a, request) -> a ^ request);
+                .reduce(0, (first, second) -> first ^ second);
     }
 
-    /** Whether any node has said that it holds items. */
+    /** Whether any node, including this one, has reported that it stores items. */
     public boolean itemsReported() {
         return itemsReported || itemCount.getAsInt() > 0;
     }
 
-    /** Whether this node's heartbeats prove no drift of half of M or more. */
+    /** Whether the heartbeats of the node {@code id} prove no drift of half of M or more. */
     public boolean isClockSound(final NodeId id) {
         return heartbeatClocks.provenSkewMs(id) < timings.marginMs() / 2;
     }
 
-    /** Records a heartbeat and responds with what the sender lacks of the member list. */
-    public void onHeartbeat(final HeartbeatRequest request, final Consumer<Message> back) {
+    /** Records a heartbeat and responds with the changes of the member list that the sender has not received. */
+    public void onHeartbeat(final HeartbeatRequest request, final Consumer<Message> responder) {
         heartbeatClocks.addSample(request.member().id(), loop.now(), request.clockMs());
         record(request.member(), loop.now());
         itemsReported |= request.itemCount() > 0;
         final long now = loop.now();
         if (request.listId() != null) {
-            final String list = ownMember().incarnation();
-            final List<MembershipChange> changed =
-                    table.changesSince(request.listId().equals(list) ? request.sinceChange() : 0, now);
-            back.accept(new HeartbeatResponse(
-                    null, now, list, table.lastChange(), changed, table.coreSilences(now), table.edgeSilences(now)));
+            final String listId = ownMember().incarnation();
+            final List<MembershipChange> changes =
+                    table.changesSince(request.listId().equals(listId) ? request.sinceChange() : 0, now);
+            responder.accept(new HeartbeatResponse(
+                    null, now, listId, table.lastChange(), changes, table.coreSilences(now), table.edgeSilences(now)));
             return;
         }
-        final boolean same = request.memberDigest() == memberDigest();
-        back.accept(new HeartbeatResponse(
+        final boolean sameMembers = request.memberDigest() == memberDigest();
+        responder.accept(new HeartbeatResponse(
                 liveMembers().stream()
                         .map(member -> new MemberReport(
-                                member.id(), silenceMs(member.id()), member.status(), same ? null : member))
+                                member.id(), silenceMs(member.id()), member.status(), sameMembers ? null : member))
                         .toList(),
                 now,
                 null,
@@ -215,8 +222,8 @@
     }
 
     private void record(final Member member, final long heardAt) {
-        final MemberTable.Noted noted = table.record(member, heardAt, loop.now());
-        if (noted.appeared()) {
+        final MemberTable.RecordResult result = table.record(member, heardAt, loop.now());
+        if (result.appeared()) {
             journal.add(Event.of(
                     EventCode.MEMBER_SEEN,
                     "node",
@@ -226,7 +233,7 @@
                     "cell",
                     member.location()));
         }
-        if (noted.addressChanged()) {
+        if (result.addressChanged()) {
             addressBook.accept(member);
         }
     }
@@ -239,12 +246,12 @@
                 .toList();
     }
 
-    /** Called when anything was received from this node. */
+    /** Records that a message was received from this node. */
     public void recordContact(final NodeId id) {
         table.recordContact(id, loop.now());
     }
 
-    /** How many of a role were ever heard of. */
+    /** Returns the number of members of this role that were ever heard from. */
     public int knownCount(final Role role) {
         return (int)
                 table.all().stream().filter(row -> row.member().role() == role).count();
@@ -259,7 +266,7 @@
         return table.knownForMs(id, loop.now());
     }
 
-    /** Time since this node was last heard from, in ms; {@link Long#MAX_VALUE} for one never heard from. */
+    /** Returns the time since this node was last heard from, in ms; {@link Long#MAX_VALUE} if it never was. */
     public long silenceMs(final NodeId id) {
         final MemberTable.Row row = table.get(id);
         return row == null ? Long.MAX_VALUE : loop.now() - row.heardAt();
@@ -269,7 +276,7 @@
         return table.all().stream().map(row -> row.member().id()).toList();
     }
 
-    /** The member of this name, or null where it was never heard from. */
+    /** Returns the member with this id, or null if it was never heard from. */
     public Member get(final NodeId id) {
         final MemberTable.Row row = table.get(id);
         return row == null ? null : row.member();
--- a/control/src/main/java/org/rowanvalve/control/membership/SeedMemberView.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/SeedMemberView.java
@@ -9,8 +9,8 @@
 import org.rowanvalve.common.model.Member;
 
 /**
- * A seed's member list as far as this node has received it; each answer brings what changed, and how long each member
- * has been silent.
+ * The member list of a seed as this node has received it. Each heartbeat response carries the changes of the list and
+ * the time for which each member has been silent.
  */
 final class SeedMemberView {
     private final List<Member> coreMembers = new ArrayList<>();
@@ -18,7 +18,7 @@
     private String listId = "";
     private long lastChange;
 
-    /** Empty before the first answer. */
+    /** Returns the id of the seed's list, empty before the first response. */
     String listId() {
         return listId;
     }
@@ -27,7 +27,9 @@
         return lastChange;
     }
 
-    /** {@code listener} hears every member that is not lost, with the longest that it may have been silent. */
+    /**
+     * Applies a response; {@code listener} gets each member that is not lost with an upper bound of its silence in ms.
+     */
     void apply(final HeartbeatResponse response, final ObjLongConsumer<Member> listener) {
         if (!response.listId().equals(listId)) {
             coreMembers.clear();
@@ -44,21 +46,22 @@
         for (int i = 0; i < Math.min(coreMembers.size(), response.silences().length); i++) {
             report(coreMembers.get(i), response.silences()[i] & 0xff, listener);
         }
-        final Map<Integer, Integer> late = new HashMap<>();
-        response.edgeSilences().forEach(change -> late.put(-1 - change.position(), change.units()));
+        final Map<Integer, Integer> edgeSilences = new HashMap<>();
+        response.edgeSilences().forEach(silence -> edgeSilences.put(-1 - silence.position(), silence.units()));
         for (int i = 0; i < edgeMembers.size(); i++) {
             report(
                     edgeMembers.get(i),
-                    late.getOrDefault(i, HeartbeatResponse.DEFAULT_EDGE_SILENCE_MS / HeartbeatResponse.SILENCE_UNIT_MS),
+                    edgeSilences.getOrDefault(
+                            i, HeartbeatResponse.DEFAULT_EDGE_SILENCE_MS / HeartbeatResponse.SILENCE_UNIT_MS),
                     listener);
         }
     }
 
-    private static void putAt(final List<Member> all, final int at, final Member member) {
-        while (all.size() <= at) {
-            all.add(null);
+    private static void putAt(final List<Member> members, final int index, final Member member) {
+        while (members.size() <= index) {
+            members.add(null);
         }
-        all.set(at, member);
+        members.set(index, member);
     }
 
     private static void report(final Member member, final int units, final ObjLongConsumer<Member> listener) {
--- a/control/src/main/java/org/rowanvalve/control/placement/OwnerSelector.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/OwnerSelector.java
@@ -6,8 +6,8 @@
 import org.rowanvalve.control.membership.Membership;
 
 /**
- * Selects the shield that owns a shard. Shards belong to regions in turn; a region's shields own its shards while there
- * are any.
+ * Selects the shield that owns a shard. Shards are assigned to regions round-robin. The owner of a shard is a shield of
+ * the shard's region if that region has one, otherwise a shield of any region.
  */
 public final class OwnerSelector {
     private final Regions regions;
@@ -19,17 +19,18 @@
     }
 
     /**
-     * {@code settled}: those of the {@code candidates} shields that have been heard of for a while. An owner that is back counts,
-     * though it has not been heard of for long: it holds the shard already.
+     * Selects the owner by rendezvous hashing among the {@code settled} shields: those of the {@code candidates} that
+     * have been known for some time. A current owner that returned recently is eligible too, because it already holds
+     * the shard.
      */
     public NodeId select(
             final int shard, final NodeId current, final List<NodeId> candidates, final List<NodeId> settled) {
         if (current == null || !candidates.contains(current) || settled.contains(current)) {
             return PlacementPlan.rendezvousOwner(shard, localCandidates(shard, settled));
         }
-        final List<NodeId> list = new ArrayList<>(settled);
-        list.add(current);
-        return PlacementPlan.rendezvousOwner(shard, localCandidates(shard, list));
+        final List<NodeId> eligible = new ArrayList<>(settled);
+        eligible.add(current);
+        return PlacementPlan.rendezvousOwner(shard, localCandidates(shard, eligible));
     }
 
     private List<NodeId> localCandidates(final int shard, final List<NodeId> settled) {
--- a/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/PlacementPlan.java
@@ -14,17 +14,19 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.control.json.Json;
 
-/** The placement of one epoch: which shield owns each shard, under which fencing token. */
+/**
+ * The placement of one epoch: the owner of each shard with its fencing token, and the shards' shares of rate limits.
+ */
 public record PlacementPlan(
         long epoch,
         long term,
         @JsonProperty("parts") List<Assignment> assignments,
         @JsonProperty("serial") long weightsSerial,
         Map<String, List<Integer>> weights) {
-    /** The whole of a store's rate, in the unit of weights. */
+    /** The sum of weights that stands for the whole rate of a service. */
     public static final int WEIGHT_SCALE = 10_000;
 
-    /** One shard of the plan: its owner and the fencing token of that owner. */
+    /** The owner of one shard and the fencing token of that owner. */
     public record Assignment(String owner, long term, long count) {
         public FencingToken token() {
             return new FencingToken(term, count);
@@ -44,28 +46,32 @@
         this(epoch, term, assignments, 0, Map.of());
     }
 
-    /** The plan of the next epoch with other shares of the rate limits. */
+    /** Returns the plan of the next epoch with new shares of the rate limits. */
     public PlacementPlan withWeights(final Map<String, List<Integer>> newWeights) {
         return new PlacementPlan(epoch + 1, term, assignments, weightsSerial + 1, newWeights);
     }
 
-    /** The same placement, repeated as the first plan of a term. */
+    /** Returns the same placement as the first plan of a new term. */
     public PlacementPlan of(final long newTerm) {
         return new PlacementPlan(epoch + 1, newTerm, assignments, weightsSerial, weights);
     }
 
-    /** A shard's part of the rate of a service's stores; even where nothing else is stated. */
+    /**
+     * Returns a shard's share of the rate of a service; the shares are equal if the plan states none for the service.
+     */
     public int weight(final String service, final int shard) {
-        final List<Integer> list = weights.get(service);
-        return list == null || shard >= list.size() ? WEIGHT_SCALE / Math.max(1, assignments.size()) : list.get(shard);
+        final List<Integer> shares = weights.get(service);
+        return shares == null || shard >= shares.size()
+                ? WEIGHT_SCALE / Math.max(1, assignments.size())
+                : shares.get(shard);
     }
 
-    /** The plan of the item, or an empty one where it does not exist. */
+    /** Returns the plan in the item, or an empty plan if the item does not exist. */
     public static PlacementPlan of(final Item item) {
         return item.exists() ? Json.read(item.body(), PlacementPlan.class) : new PlacementPlan(0, 0, List.of());
     }
 
-    /** The plan of the next epoch, with {@code moves} under new fencing tokens. */
+    /** Returns the plan of the next epoch; each shard in {@code moves} gets its new owner and a new fencing token. */
     public PlacementPlan withMoves(final long currentTerm, final Map<Integer, NodeId> moves, final int shards) {
         final List<Assignment> next = new ArrayList<>();
         for (int i = 0; i < shards; i++) {
@@ -80,7 +86,7 @@
         return new PlacementPlan(epoch + 1, currentTerm, next, weightsSerial, weights);
     }
 
-    /** The owner of a shard by rendezvous hashing: a member that comes or goes moves only its own shards. */
+    /** Returns the owner of a shard by rendezvous hashing: a member that joins or leaves moves only its own shards. */
     public static NodeId rendezvousOwner(final int shard, final Collection<NodeId> members) {
         return members.stream()
                 .max(Comparator.comparingLong((NodeId node) -> Hash.hash64("shard-" + shard + "/" + node.text()))
@@ -88,7 +94,7 @@
                 .orElseThrow();
     }
 
-    /** The shard of a key; the same on every node. */
+    /** Returns the shard of a key, which is the same on every node. */
     public static int shardOf(final String route, final String service, final String key, final int shards) {
         return (int) Long.remainderUnsigned(Hash.hash64(route + "|" + service + "|" + key), shards);
     }
--- a/control/src/main/java/org/rowanvalve/control/placement/RateShareBalancer.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/RateShareBalancer.java
@@ -12,28 +12,39 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * Each shard's part of a content store's rate follows what its holder wants to send. Holders whose part falls are lowered
- * first; only when every holder has said that it goes by the lowered parts, and a moment more has passed, are the others
- * raised. So at any time, whichever of the two plans a holder goes by, all of them together send no more than the rate.
+ * Adapts each shard's share of a content store's rate to the demand of the shard's holder.
+ *
+ * <p>Safety: the shares of holders that lose are lowered first. The other shares are raised only after every holder has
+ * confirmed that it applies the lowered shares and a settling time has passed. So at any time the holders together send
+ * no more than the rate, whichever of the two plans each of them applies.
  */
 public final class RateShareBalancer {
     private static final long ROUND_MS = 4000;
-    /** The same while a service is wanted whose parts have never been set to its demand. */
+    /** The interval between rounds while there is demand for a service whose shares never followed its demand. */
     private static final long FIRST_ROUND_MS = 1000;
 
+    /** The time between the last confirmation of lowered shares and the raise, in which requests under way can end. */
     private static final long SETTLE_MS = 1000;
-    private static final double EVEN_PART = 0.25;
+
+    /** The fraction of a rate that is divided equally among the shards, whatever the demand. */
+    private static final double EVEN_FRACTION = 0.25;
+
+    /** The smallest change of a holder's share that justifies new weights, as a fraction of the rate. */
     private static final double MIN_CHANGE = 0.08;
+
+    /** The number of requests below which the demand for a service changes no shares. */
+    private static final double MIN_DEMAND = 20;
+
     private final Map<String, Map<Integer, Double>> demand = new TreeMap<>();
     private final Map<NodeId, Long> confirmedSerials = new HashMap<>();
     private Map<String, List<Integer>> targetWeights = Map.of();
-    /** Who held the shards when parts were lowered: with others the goal no longer fits. */
+    /** The shards' owners when shares were lowered; the target weights do not apply to other owners. */
     private List<String> ownersWhenLowered = List.of();
 
     private long lastRoundAt;
     private long confirmedSince = -1;
 
-    /** Forgets all demand, as at the start of a term. */
+    /** Discards all recorded demand, as is done at the start of a term. */
     public void clear(final long now) {
         demand.clear();
         confirmedSerials.clear();
@@ -42,17 +53,17 @@
         confirmedSince = -1;
     }
 
-    /** Records the demand that a holder reports with its renewal. */
+    /** Records the demand and the confirmed weights that a holder reports with its renewal. */
     public void onRenewal(final NodeId from, final LeaseRenewRequest request) {
         confirmedSerials.put(from, request.weightsSerial());
         if (request.demand() != null) {
             request.demand()
-                    .forEach(w -> demand.computeIfAbsent(w.service(), k -> new HashMap<>())
-                            .merge(w.shard(), (double) w.count(), Double::sum));
+                    .forEach(reported -> demand.computeIfAbsent(reported.service(), k -> new HashMap<>())
+                            .merge(reported.shard(), (double) reported.count(), Double::sum));
         }
     }
 
-    /** The plan with other weights, where it is time for them. */
+    /** Returns the plan with new weights if the weights are due for a change. */
     public Optional<PlacementPlan> nextPlan(final PlacementPlan plan, final int shards, final long now) {
         if (!targetWeights.isEmpty()) {
             return raiseWeights(plan, now);
@@ -67,11 +78,12 @@
             final double sum = demandByShard.values().stream()
                     .mapToDouble(Double::doubleValue)
                     .sum();
-            if (sum >= 20) {
+            if (sum >= MIN_DEMAND) {
                 final List<Integer> weights = new ArrayList<>();
                 for (int shard = 0; shard < shards; shard++) {
                     weights.add((int) (PlacementPlan.WEIGHT_SCALE
-                            * (EVEN_PART / shards + (1 - EVEN_PART) * demandByShard.getOrDefault(shard, 0.0) / sum)));
+                            * (EVEN_FRACTION / shards
+                                    + (1 - EVEN_FRACTION) * demandByShard.getOrDefault(shard, 0.0) / sum)));
                 }
                 if (isSignificant(plan, service, weights)) {
                     wanted.put(service, weights);
@@ -90,7 +102,7 @@
         return Optional.of(plan.withWeights(loweredWeights));
     }
 
-    /** The wanted parts of shards, scaled down for holders that gain to what they have by the plan. */
+    /** Returns the wanted weights; those of a holder that gains are scaled down to the sum that it has in the plan. */
     private static List<Integer> loweredWeights(
             final PlacementPlan plan, final String service, final List<Integer> weights) {
         final Map<String, Integer> before = new HashMap<>();
@@ -115,7 +127,7 @@
         return plan.assignments().stream().map(PlacementPlan.Assignment::owner).toList();
     }
 
-    /** Whether some holder's part would change by enough. */
+    /** Whether the share of some holder would change by more than {@link #MIN_CHANGE}. */
     private static boolean isSignificant(final PlacementPlan plan, final String service, final List<Integer> weights) {
         final Map<String, Integer> change = new HashMap<>();
         for (int shard = 0; shard < weights.size(); shard++) {
@@ -124,7 +136,7 @@
                     weights.get(shard) - plan.weight(service, shard),
                     Integer::sum);
         }
-        return change.values().stream().anyMatch(c -> Math.abs(c) > MIN_CHANGE * PlacementPlan.WEIGHT_SCALE);
+        return change.values().stream().anyMatch(delta -> Math.abs(delta) > MIN_CHANGE * PlacementPlan.WEIGHT_SCALE);
     }
 
     private Optional<PlacementPlan> raiseWeights(final PlacementPlan plan, final long now) {
@@ -135,7 +147,7 @@
         final Set<NodeId> owners = plan.assignments().stream()
                 .map(PlacementPlan.Assignment::ownerId)
                 .collect(Collectors.toSet());
-        if (!owners.stream().allMatch(count -> confirmedSerials.getOrDefault(count, -1L) >= plan.weightsSerial())) {
+        if (!owners.stream().allMatch(owner -> confirmedSerials.getOrDefault(owner, -1L) >= plan.weightsSerial())) {
             confirmedSince = -1;
             return Optional.empty();
         }
--- a/control/src/main/java/org/rowanvalve/control/placement/Regions.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/Regions.java
@@ -1,8 +1,8 @@
 package org.rowanvalve.control.placement;
 
-/** The regions that shards belong to. */
+/** The regions that shards are assigned to. */
 public interface Regions {
-    int indexOf(String cell);
+    int indexOf(String location);
 
     int count();
 }
--- a/control/src/main/java/org/rowanvalve/control/placement/package-info.java
+++ b/control/src/main/java/org/rowanvalve/control/placement/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which shield owns which shard under which fencing token (the placement plan, a register), how owners are chosen, and
- * how the shares of a rate limit follow demand.
+ * The placement plan, a register that assigns each shard to a shield with a fencing token; the selection of owners; and
+ * the adaptation of rate limit shares to demand.
  *
  * <p>Depends on {@code control.json} and {@code control.membership}.
  */
--- a/control/src/test/java/org/rowanvalve/control/config/ConfigurationViewTest.java
+++ b/control/src/test/java/org/rowanvalve/control/config/ConfigurationViewTest.java
@@ -18,114 +18,120 @@
 import org.rowanvalve.control.store.CollectionFloor;
 import org.rowanvalve.control.voting.VoterFixture;
 
-/** Hosts, prefixes, purges of a host's path and of tags. */
+/** Route matching by host and prefix, purges of a host's path and of tags, and request limits. */
 class ConfigurationViewTest {
     private final VoterFixture net = new VoterFixture();
     private final ConfigurationView configuration = net.configuration;
 
-    private static Route match(
+    private static Route newRoute(
             final String host, final String prefix, final String service, final List<Route.WeightedService> split) {
         return new Route(prefix, service, RouteMode.CACHED, 1000, true, "", host, split, true, 0, 0, 0, 3, "");
     }
 
-    private void route(final String name, final String host, final String prefix, final String service) {
-        net.put(new ItemId(ItemKind.ROUTE, name), 1, match(host, prefix, service, List.of()));
+    private void putRoute(final String name, final String host, final String prefix, final String service) {
+        net.put(new ItemId(ItemKind.ROUTE, name), 1, newRoute(host, prefix, service, List.of()));
     }
 
-    private void service(final String name) {
+    private void putService(final String name) {
         net.put(new ItemId(ItemKind.SERVICE, name), 1, new Service(ServiceKind.OPEN, 0, 1, 1000, 0, 0, ""));
     }
 
-    private String at(final String host, final String path) {
+    private String routeNameOf(final String host, final String path) {
         return configuration.route(host, path).map(ConfiguredRoute::name).orElse("none");
     }
 
     @Test
-    void theLongestPrefixOfTheHostsOwnRoutes() {
-        service("s");
-        route("wide", "one", "/", "s");
-        route("narrow", "one", "/a/", "s");
-        route("narrower", "one", "/a/b/", "s");
-        route("other", "two", "/a/b/c/", "s");
-        assertEquals("narrower", at("one", "/a/b/c/1"));
-        assertEquals("narrow", at("one", "/a/c?x=/a/b/"));
-        assertEquals("wide", at("one", "/a"));
-        assertEquals("other", at("two", "/a/b/c/1"));
-        assertEquals("none", at("two", "/a/b/1"));
-        assertEquals("none", at("three", "/a/b/c/1"));
-        route("any", "", "/a/", "s");
-        assertEquals("any", at("three", "/a/1"));
-        assertEquals("narrow", at("one", "/a/1"), "a host's own routes go first");
+    void aRequestMatchesTheLongestPrefixOfItsHostsRoutes() {
+        putService("s");
+        putRoute("wide", "one", "/", "s");
+        putRoute("narrow", "one", "/a/", "s");
+        putRoute("narrower", "one", "/a/b/", "s");
+        putRoute("other", "two", "/a/b/c/", "s");
+        assertEquals("narrower", routeNameOf("one", "/a/b/c/1"));
+        assertEquals("narrow", routeNameOf("one", "/a/c?x=/a/b/"));
+        assertEquals("wide", routeNameOf("one", "/a"));
+        assertEquals("other", routeNameOf("two", "/a/b/c/1"));
+        assertEquals("none", routeNameOf("two", "/a/b/1"));
+        assertEquals("none", routeNameOf("three", "/a/b/c/1"));
+        putRoute("any", "", "/a/", "s");
+        assertEquals("any", routeNameOf("three", "/a/1"));
+        assertEquals(
+                "narrow", routeNameOf("one", "/a/1"), "a host's own routes take precedence over routes without a host");
         net.items.merge(new ChosenItem(
                 Ballot.ZERO, new Item(new ItemId(ItemKind.ROUTE, "narrow"), new Version(2), "", true, "")));
-        assertEquals("wide", at("one", "/a/1"));
+        assertEquals("wide", routeNameOf("one", "/a/1"));
     }
 
     @Test
-    void aSplitRouteIsFitOnlyWhileAllItsServicesStand() {
-        service("s");
+    void aSplitRouteIsUsableOnlyIfAllItsServicesExist() {
+        putService("s");
         net.put(
                 new ItemId(ItemKind.ROUTE, "r"),
                 1,
-                match("h", "/", "s", List.of(new Route.WeightedService("s", 9), new Route.WeightedService("t", 1))));
+                newRoute("h", "/", "s", List.of(new Route.WeightedService("s", 9), new Route.WeightedService("t", 1))));
         assertFalse(configuration.route("h", "/x").orElseThrow().isUsable());
-        service("t");
+        putService("t");
         assertTrue(configuration.route("h", "/x").orElseThrow().isUsable());
     }
 
-    private void purge(final String name, final long ver, final Purge purge) {
-        net.put(new ItemId(ItemKind.PURGE, name), ver, purge);
+    private void putPurge(final String name, final long version, final Purge purge) {
+        net.put(new ItemId(ItemKind.PURGE, name), version, purge);
     }
 
     @Test
-    void aPurgeOfAHostsPathMarksThatPathOnly() {
-        service("s");
-        route("r", "h", "/", "s");
-        final ConfiguredRoute row = configuration.route("h", "/x").orElseThrow();
-        final VersionVector none = configuration.versionsOf(row, "/x");
-        purge("h.1", 4, new Purge(null, "/x", null, "h", null));
-        assertEquals(Map.of("p/h.1", 4L), configuration.versionsOf(row, "/x").versions());
-        assertEquals(none, configuration.versionsOf(row, "/y"));
-        purge("h.1", 6, new Purge(null, "/x", null, "h", null));
-        assertEquals(Map.of("p/h.1", 6L), configuration.versionsOf(row, "/x").versions());
-        assertTrue(configuration.versionsOf(row, "/x").covers(none));
+    void aPurgeOfAHostsPathAffectsOnlyThatPath() {
+        putService("s");
+        putRoute("r", "h", "/", "s");
+        final ConfiguredRoute configured = configuration.route("h", "/x").orElseThrow();
+        final VersionVector withoutPurge = configuration.versionsOf(configured, "/x");
+        putPurge("h.1", 4, new Purge(null, "/x", null, "h", null));
+        assertEquals(
+                Map.of("p/h.1", 4L), configuration.versionsOf(configured, "/x").versions());
+        assertEquals(withoutPurge, configuration.versionsOf(configured, "/y"));
+        putPurge("h.1", 6, new Purge(null, "/x", null, "h", null));
+        assertEquals(
+                Map.of("p/h.1", 6L), configuration.versionsOf(configured, "/x").versions());
+        assertTrue(configuration.versionsOf(configured, "/x").covers(withoutPurge));
     }
 
     @Test
-    void aHostsRouteThatChangesKeepsItsCopiesAndAnotherRouteGoesOnWithThem() {
-        service("s");
-        route("r", "h", "/", "s");
+    void copiesOfAHostStayValidWhenAnotherOfItsRoutesMatchesThem() {
+        putService("s");
+        putRoute("r", "h", "/", "s");
         final VersionVector before =
                 configuration.versionsOf(configuration.route("h", "/x/1").orElseThrow(), "/x/1");
-        route("r2", "h", "/x/", "s");
+        putRoute("r2", "h", "/x/", "s");
         assertEquals(
                 before,
                 configuration.versionsOf(configuration.route("h", "/x/1").orElseThrow(), "/x/1"));
-        route("own", "", "/y/", "s");
+        putRoute("own", "", "/y/", "s");
         assertNotEquals(
                 before, configuration.versionsOf(configuration.route("", "/y/1").orElseThrow(), "/y/1"));
     }
 
     @Test
-    void tagsAreCleanUntilPurgedAnew() {
-        final Map<String, Long> bare = Map.of("t1", 0L, "t2", 0L);
-        assertTrue(configuration.areTagsCurrent(bare));
+    void tagsAreCurrentUntilTheyArePurged() {
+        final Map<String, Long> unpurged = Map.of("t1", 0L, "t2", 0L);
+        assertTrue(configuration.areTagsCurrent(unpurged));
         net.loop.run(500);
-        purge("t.1", 3, new Purge(null, null, null, null, "t1"));
-        assertFalse(configuration.areTagsCurrent(bare));
+        putPurge("t.1", 3, new Purge(null, null, null, null, "t1"));
+        assertFalse(configuration.areTagsCurrent(unpurged));
         assertTrue(configuration.areTagsCurrent(Map.of("t1", 3L, "t2", 0L)));
         assertEquals(net.loop.now(), configuration.tagPurge("t1").learnedAt());
         assertEquals(0, configuration.tagPurge("t2").version());
     }
 
-    /** Else a node that was up then and one that started later never agree on a copy with that tag. */
+    /**
+     * Guards against version vectors that include garbage-collected purges. A node that knew the purge and a node that
+     * started later would never agree on a cached copy with that tag.
+     */
     @Test
-    void whatIsDroppedMarksNothing() {
-        service("s");
-        route("r", "h", "/", "s");
-        purge("h.1", 4, new Purge(null, "/x", null, "h", null));
-        purge("t.1", 5, new Purge(null, null, null, null, "t1"));
-        purge("t.2", 6, new Purge(null, null, null, null, "t2"));
+    void garbageCollectedPurgesHaveNoEffect() {
+        putService("s");
+        putRoute("r", "h", "/", "s");
+        putPurge("h.1", 4, new Purge(null, "/x", null, "h", null));
+        putPurge("t.1", 5, new Purge(null, null, null, null, "t1"));
+        putPurge("t.2", 6, new Purge(null, null, null, null, "t2"));
         net.put(CollectionFloor.ID, 1, new CollectionFloor(5, 0));
         assertEquals(
                 Map.of(),
@@ -137,7 +143,7 @@
     }
 
     @Test
-    void limitsAreTheStatedOnesOrPlain() {
+    void limitsAreTheConfiguredOnesOrTheDefaults() {
         assertEquals(RequestLimits.DEFAULTS, configuration.limits());
         net.put(RequestLimits.ID, 1, new RequestLimits(300, 400, 500, 600, null));
         assertEquals(new RequestLimits(300, 400, 500, 600, ""), configuration.limits());
--- a/control/src/test/java/org/rowanvalve/control/config/RouteTableTest.java
+++ b/control/src/test/java/org/rowanvalve/control/config/RouteTableTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** The table beside one that is built anew from all routes and services after each change. */
+/** Compares the route table with the result of rebuilding it from all routes and services after each change. */
 class RouteTableTest {
     private static final Service OPEN = new Service(ServiceKind.OPEN, 0, 0, 0, 0, 0, "");
     private final Map<String, Service> services = new HashMap<>();
@@ -24,27 +24,27 @@
     }
 
     private List<String> expected(final Optional<String> host) {
-        final List<Map.Entry<String, Route>> all = new ArrayList<>(routes.entrySet());
-        all.removeIf(
+        final List<Map.Entry<String, Route>> matching = new ArrayList<>(routes.entrySet());
+        matching.removeIf(
                 entry -> host.isPresent() && !host.get().equals(entry.getValue().host()));
-        all.sort(Comparator.comparingInt((Map.Entry<String, Route> entry) ->
+        matching.sort(Comparator.comparingInt((Map.Entry<String, Route> entry) ->
                         -entry.getValue().prefix().length())
                 .thenComparing(Map.Entry::getKey));
-        return all.stream()
+        return matching.stream()
                 .map(entry -> entry.getKey() + " "
                         + services.containsKey(entry.getValue().service()))
                 .toList();
     }
 
-    private static List<String> told(final List<ConfiguredRoute> configured) {
+    private static List<String> describe(final List<ConfiguredRoute> configured) {
         return configured.stream()
-                .map(each -> each.name() + " " + (each.service() != null))
+                .map(entry -> entry.name() + " " + (entry.service() != null))
                 .toList();
     }
 
-    /** Guards against a change of a route, of its host or of its service that the table misses. */
+    /** Guards against changes of a route, its host or its service that the table does not apply. */
     @Test
-    void aTableThatFollowsChangesIsLikeOneBuiltAnew() {
+    void anUpdatedTableEqualsARebuiltOne() {
         final Random random = new Random(9);
         for (int step = 0; step < 4000; step++) {
             final String name = "r" + random.nextInt(30);
@@ -67,13 +67,13 @@
                 }
             }
             final String host = "h" + random.nextInt(5);
-            assertEquals(expected(Optional.of(host)), told(table.ofHost(host)), "step " + step);
+            assertEquals(expected(Optional.of(host)), describe(table.ofHost(host)), "step " + step);
             assertEquals(
                     Optional.ofNullable(routes.get(name)),
                     table.named(name).map(ConfiguredRoute::route),
                     "step " + step);
             if (step % 50 == 0) {
-                assertEquals(expected(Optional.empty()), told(table.byPrecedence()), "step " + step);
+                assertEquals(expected(Optional.empty()), describe(table.byPrecedence()), "step " + step);
             }
             assertEquals(routes.isEmpty(), table.isEmpty());
         }
--- a/testkit/src/test/java/org/rowanvalve/testkit/RateSharesTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RateSharesTest.java
@@ -19,12 +19,12 @@
 import org.rowanvalve.testkit.sim.SimCluster;
 import org.rowanvalve.testkit.sim.SimNode;
 
-/** A hot shard gets the part of a store's rate that it wants, and the ceiling holds while parts change hands. */
+/** The shares of a store's rate follow the demand of shards, and the rate is not exceeded while shares change. */
 class RateSharesTest {
-    /** Objects of one holder only are asked for, more than its even part allows; then of another. */
+    /** Requests only objects of one holder, at a rate above its equal share; then only objects of another holder. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void sharesFollowDemandAndTheCeilingHolds(final long seed) {
+    void sharesFollowDemandWithinTheRateLimit(final long seed) {
         final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), seed).open();
         cluster.crowd().factor(0.02);
         cluster.itemOperator().stop();
@@ -38,7 +38,7 @@
                         service,
                         0,
                         "s",
-                        x -> cluster.log()
+                        response -> cluster.log()
                                 .add(RunLog.row(
                                         "log",
                                         "op",
@@ -55,7 +55,7 @@
                                         "rate",
                                         12.0,
                                         "status",
-                                        x.status(),
+                                        response.status(),
                                         "version",
                                         1)));
         cluster.run(500);
@@ -77,43 +77,43 @@
                     paths.add("/hot/" + i);
                 }
             }
-            for (int half = 0; half < 2; half++) {
-                final int at = 2 * phase + half;
+            for (int interval = 0; interval < 2; interval++) {
+                final int index = 2 * phase + interval;
                 for (int i = 0; i < 600; i++) {
-                    final SimNode ed = cluster.node("ed" + (1 + i % 11));
+                    final SimNode edge = cluster.node("ed" + (1 + i % 11));
                     final String path = paths.get(i % paths.size());
-                    ed.execute(() -> ed.node()
+                    edge.execute(() -> edge.node()
                             .edge()
                             .handle(
                                     new ClientRequest("GET", path, null, new byte[0], ""),
-                                    response -> done[at] += response.status() == 200 ? 1 : 0));
+                                    response -> done[index] += response.status() == 200 ? 1 : 0));
                     cluster.run(20);
                 }
             }
         }
         System.out.println("shares " + seed + " " + java.util.Arrays.toString(done));
-        assertTrue(done[0] >= 185, "the first demand is followed soon: " + done[0]);
-        assertTrue(done[1] >= 263, "its holder comes to have the rate, 288 at most: " + done[1]);
-        assertTrue(done[2] >= 110, "demand that moves to another holder is followed: " + done[2]);
-        assertTrue(done[3] >= 205, "that holder comes to have the rate: " + done[3]);
+        assertTrue(done[0] >= 185, "shares follow the first demand soon: " + done[0]);
+        assertTrue(done[1] >= 263, "the holder gets most of the rate, 288 at most: " + done[1]);
+        assertTrue(done[2] >= 110, "shares follow demand that moves to another holder: " + done[2]);
+        assertTrue(done[3] >= 205, "the second holder gets most of the rate: " + done[3]);
         final Judge judge = new Judge(cluster.close());
         assertTrue(judge.clean(), judge.text(3));
         assertTrue(judge.rule(9).checked() > 300);
     }
 
-    /** What a plan's weights come to is never more than the whole, whatever step they are at. */
+    /** The weights of a plan never add up to more than the whole rate. */
     @Test
-    void weightsNeverPassTheWhole() {
+    void weightsNeverExceedTheWholeRate() {
         final SimCluster cluster = new SimCluster(Deployment.coastline(), 4).open();
         cluster.run(20_000);
-        for (final String n : List.of("sh1", "st1", "ed1")) {
-            final PlacementPlan plan = cluster.node(n).node().configuration().plan();
-            for (final String s : List.of("listing", "seats")) {
+        for (final String node : List.of("sh1", "st1", "ed1")) {
+            final PlacementPlan plan = cluster.node(node).node().configuration().plan();
+            for (final String service : List.of("listing", "seats")) {
                 int sum = 0;
                 for (int i = 0; i < 32; i++) {
-                    sum += plan.weight(s, i);
+                    sum += plan.weight(service, i);
                 }
-                assertTrue(sum <= PlacementPlan.WEIGHT_SCALE, n + " " + s + " " + sum);
+                assertTrue(sum <= PlacementPlan.WEIGHT_SCALE, node + " " + service + " " + sum);
             }
         }
         assertEquals(
