--- a/data/src/main/java/org/rowanvalve/data/origin/AttemptWait.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/AttemptWait.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Consumer;
 
-/** A committed attempt waits for something before it is sent. It ends once: its listener is told how. */
+/** A wait of a committed attempt before it is sent. The wait ends exactly once, and its listener is told how. */
 abstract class AttemptWait {
     private final OriginDispatcher dispatcher;
     private final OriginRequest request;
@@ -35,10 +35,10 @@
 
     abstract void start();
 
-    /** Gives the turn back, so that another attempt gets it. */
+    /** Releases the reserved turn, so that another attempt can use it. */
     abstract void release();
 
-    /** Nobody waits for the request any more. */
+    /** Ends the wait because nobody waits for the request any more. */
     final void giveUp() {
         release();
         end(End.GIVEN_UP);
--- a/data/src/main/java/org/rowanvalve/data/origin/ConfirmationWait.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/ConfirmationWait.java
@@ -1,8 +1,8 @@
 package org.rowanvalve.data.origin;
 
 /**
- * After a pause of the process: a wait until the request's caller has said whether it still waits, or until the request's
- * deadline, which whoever waits checks.
+ * A wait after a pause of the process, until the request's caller has stated whether it still waits, or until the
+ * request's deadline. The listener checks the deadline itself.
  */
 final class ConfirmationWait extends AttemptWait {
     ConfirmationWait(final OriginDispatcher dispatcher, final OriginRequest request) {
--- a/data/src/main/java/org/rowanvalve/data/origin/DemandCounter.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/DemandCounter.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.rowanvalve.common.message.ShardDemand;
 
-/** Requests to origins that were wanted, by service and shard, since they were last read. */
+/** Counts the wanted origin requests by service and shard since the counts were last read. */
 final class DemandCounter {
     private final Map<String, Map<Integer, Integer>> counts = new HashMap<>();
 
--- a/data/src/main/java/org/rowanvalve/data/origin/LoadExchange.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/LoadExchange.java
@@ -9,8 +9,8 @@
 import org.rowanvalve.control.config.Origin;
 
 /**
- * Reports to the other shields how many requests this one has at each origin: soon where slots are few, else at
- * intervals.
+ * Reports to the other shields how many requests this shield has in flight at each origin. Reports are sent at a fixed
+ * interval, and additionally soon after each change at an origin with few slots.
  */
 final class LoadExchange {
     static final long INTERVAL_MS = 500;
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
@@ -6,8 +6,17 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.control.config.Origin;
 
-/** One request sent to one origin, from the last check of its lease until the response or the end of the connection. */
+/** One exchange with one origin, from the last check of the lease until the response or the end of the connection. */
 final class OriginAttempt {
+    /** The shortest time, in ms, after which a request without a response counts as slow. */
+    private static final long AT_MOST_ONCE_SLOW_MS = 1000;
+
+    private static final long REPEATABLE_SLOW_MS = 200;
+    /** The multiple of the mean response time after which a request without a response counts as slow. */
+    private static final int AT_MOST_ONCE_SLOW_FACTOR = 6;
+
+    private static final int REPEATABLE_SLOW_FACTOR = 4;
+    private static final long RETRY_AFTER_ABORT_MS = 1000;
     private final OriginDispatcher dispatcher;
     private final OriginDispatch dispatch;
     private final OriginRequest request;
@@ -16,9 +25,9 @@
     private final long sentAt;
     private OriginTransport.Exchange exchange;
     private OriginTransport.OutboundRequest sent;
-    /** The request's bytes were permitted to leave. */
-    private boolean mayHaveLeft;
-    /** It was not answered for long, so its origin is avoided. */
+    /** Whether the permission to write the request was given, so that bytes of it may have been sent. */
+    private boolean mayHaveBeenSent;
+    /** Whether this attempt was slow and recorded as a failure, so that its origin is avoided. */
     private boolean countedAsFailure;
 
     OriginAttempt(
@@ -45,22 +54,24 @@
         dispatcher
                 .loop()
                 .schedule(
-                        (long) Math.max(request.atMostOnce() ? 1000 : 200, (request.atMostOnce() ? 6 : 4) * meanMs),
+                        (long) Math.max(
+                                request.atMostOnce() ? AT_MOST_ONCE_SLOW_MS : REPEATABLE_SLOW_MS,
+                                (request.atMostOnce() ? AT_MOST_ONCE_SLOW_FACTOR : REPEATABLE_SLOW_FACTOR) * meanMs),
                         this::onSlow);
     }
 
-    /** The same request with the time that is left, and a name of this node's own where the client gave it none. */
-    private OriginTransport.OutboundRequest withDeadline(final OriginTransport.OutboundRequest what) {
+    /** Returns the request with its remaining time, and with an ID of this node if the client sent none. */
+    private OriginTransport.OutboundRequest withDeadline(final OriginTransport.OutboundRequest outbound) {
         return new OriginTransport.OutboundRequest(
-                what.service(),
-                what.method(),
-                what.path(),
-                what.requestId().isEmpty() ? dispatcher.newRequestId() : what.requestId(),
-                what.key(),
-                what.body(),
-                what.contentType(),
+                outbound.service(),
+                outbound.method(),
+                outbound.path(),
+                outbound.requestId().isEmpty() ? dispatcher.newRequestId() : outbound.requestId(),
+                outbound.key(),
+                outbound.body(),
+                outbound.contentType(),
                 request.deadline() - sentAt,
-                what.headers());
+                outbound.headers());
     }
 
     private void journalSend(final boolean extra) {
@@ -84,20 +95,20 @@
                         sent.key() == null ? "" : sent.key()));
     }
 
-    /** Checked right before the bytes are written. */
+    /** Decides right before the bytes are written whether they may be written. */
     private boolean mayWrite() {
         final long now = dispatcher.loop().now();
-        mayHaveLeft = dispatch.maySend()
-                && dispatcher.mayUse(request.shard(), request.service())
+        mayHaveBeenSent = dispatch.maySend()
+                && dispatcher.maySend(request.shard(), request.service())
                 && origin.isSameProcess(
                         dispatcher.view().liveOrigins(request.service(), now).get(originId))
                 && now < request.deadline();
-        return mayHaveLeft;
+        return mayHaveBeenSent;
     }
 
-    /** Whether a byte of the request may have left for the origin. */
-    boolean mayHaveLeft() {
-        return mayHaveLeft;
+    /** Returns whether any byte of the request may have been sent to the origin. */
+    boolean mayHaveBeenSent() {
+        return mayHaveBeenSent;
     }
 
     private void onSlow() {
@@ -115,29 +126,30 @@
                 response.load())) {
             return;
         }
-        final OriginTransport.OriginResponse got = checked(response);
-        if (got.result() == OriginTransport.ExchangeResult.INVALID
-                || got.result() == OriginTransport.ExchangeResult.WRONG_INSTANCE) {
-            final EventCode code = got.result() == OriginTransport.ExchangeResult.INVALID
+        final OriginTransport.OriginResponse validated = validate(response);
+        if (validated.result() == OriginTransport.ExchangeResult.INVALID
+                || validated.result() == OriginTransport.ExchangeResult.WRONG_INSTANCE) {
+            final EventCode code = validated.result() == OriginTransport.ExchangeResult.INVALID
                     ? EventCode.ORIGIN_BAD
                     : EventCode.ORIGIN_STRANGE;
             dispatcher
                     .journal()
-                    .add(Event.of(code, "origin", originId.name(), "request", sent.requestId(), "why", got.reason()));
+                    .add(Event.of(
+                            code, "origin", originId.name(), "request", sent.requestId(), "why", validated.reason()));
         }
         if (!dispatch.finished()) {
-            dispatch.onEnd(got, originId, origin, sentAt);
+            dispatch.onEnd(validated, originId, origin, sentAt);
         }
         dispatcher.drainQueue(request.service());
     }
 
-    private OriginTransport.OriginResponse checked(final OriginTransport.OriginResponse response) {
-        final String fault = response.result() == OriginTransport.ExchangeResult.COMPLETE
+    private OriginTransport.OriginResponse validate(final OriginTransport.OriginResponse response) {
+        final String error = response.result() == OriginTransport.ExchangeResult.COMPLETE
                 ? dispatcher.originTransport().error(origin, sent, response)
                 : "";
-        return fault.isEmpty()
+        return error.isEmpty()
                 ? response
-                : OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.INVALID, fault);
+                : OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.INVALID, error);
     }
 
     private boolean closeOnce(final boolean answered, final OriginTransport.Load load) {
@@ -150,7 +162,7 @@
         return wasOpen;
     }
 
-    /** Nobody waits for the response: the connection is closed, so that the origin can stop. */
+    /** Closes the connection, so that the origin can stop, because nobody waits for the response any more. */
     void cancel() {
         if (!closeOnce(false, OriginTransport.Load.NONE)) {
             return;
@@ -158,26 +170,26 @@
         if (exchange != null) {
             exchange.abort();
         }
-        if (mayHaveLeft) {
+        if (mayHaveBeenSent) {
             withdrawFailure();
-            final long takenMs = dispatcher
+            final long slotTakenMs = dispatcher
                     .load()
                     .onAbandoned(originId, sentAt, dispatcher.loop().now());
-            dispatcher.loop().schedule(takenMs, () -> dispatcher.drainQueue(request.service()));
+            dispatcher.loop().schedule(slotTakenMs, () -> dispatcher.drainQueue(request.service()));
         } else {
             request.attempts().release();
             dispatcher.drainQueue(request.service());
         }
     }
 
-    /** Slow it was, but its client has left: whether the origin would have answered is not known. */
+    /** Reverts the failure of a slow attempt whose client has left, since the origin might still have responded. */
     private void withdrawFailure() {
         if (countedAsFailure && request.cancellation().isRequested()) {
             dispatcher.load().withdrawFailure(originId, dispatcher.loop().now());
         }
     }
 
-    /** The lease has ended: the connection is closed, and nobody can know whether the request was executed. */
+    /** Closes the connection because the lease has ended. It is unknown whether the request was executed. */
     void abort() {
         if (closeOnce(false, OriginTransport.Load.NONE)) {
             exchange.abort();
@@ -185,7 +197,7 @@
                     OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "right to send ended"),
                     true,
                     dispatcher.loop().now(),
-                    1000);
+                    RETRY_AFTER_ABORT_MS);
         }
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
@@ -17,20 +17,21 @@
 import org.rowanvalve.data.cancel.Cancellation;
 
 /**
- * One request on its way from this node to origins of its service: which origin next, in turn and within the share of
- * the rate, until one has answered. Each send needs an attempt of the request's allowance, each but the first also one
- * of the service's retry budget.
+ * Sends one request to origins of its service until one has responded. It chooses the next origin, waits for a slot
+ * and stays within this node's share of the rate. Each send uses one attempt of the request's allowance; each send but
+ * the first also uses one retry of the service's budget.
  */
 public final class OriginDispatch {
-    /** How many origins may be unreachable before it is given up. */
+    /** The number of unreachable origins after which the request is given up. */
     private static final int MAX_UNREACHABLE = 6;
 
     private static final long RETRY_AFTER_MS = 1000;
-    /** Rejections that every node would give: the reasons that edges see. */
+    private static final long RETRY_AFTER_BUSY_MS = 250;
+    /** The reasons, as edges receive them, of rejections that every node would give. */
     static final String ORIGINS_BUSY = "every origin is busy";
 
     public static final String RATE_EXHAUSTED = "the rate of the service is spent";
-    /** Nobody waits for the response any more. */
+    /** The reason of a request whose response nobody waits for any more. */
     public static final String CANCELLED = "the request was cancelled";
 
     private final OriginDispatcher dispatcher;
@@ -42,16 +43,19 @@
     private boolean creditedFirst;
     private boolean mayHaveRun;
     private int unreachable;
-    /** Origins that may have got it. */
+    /** The number of origins that may have received the request. */
     private int reached;
 
-    /** Sends under way, in their order. */
-    private final Set<OriginAttempt> openSends = new LinkedHashSet<>();
-    /** Committed attempts that wait for a slot, for their turn within the rate, or to be confirmed. */
+    /** Exchanges in progress, in the order of their start. */
+    private final Set<OriginAttempt> openAttempts = new LinkedHashSet<>();
+    /** Waits of committed attempts for a slot, for their turn within the rate, or for a confirmation by the caller. */
     private final Set<AttemptWait> waits = new LinkedHashSet<>();
-    /** Retries that were taken from the budget and are not sent yet. */
+    /** The number of retries that were taken from the budget and have not been sent yet. */
     private int unsentRetries;
-    /** Attempts for which an origin is being looked for, or which wait for their turn. */
+    /**
+     * The number of attempts that have been started but not sent: an origin is being chosen, or they wait for their
+     * turn.
+     */
     private int pendingAttempts;
 
     OriginDispatch(
@@ -76,7 +80,7 @@
         return dispatcher.loop();
     }
 
-    /** Whether a rejection for this reason holds for all nodes, so that asking another one is of no use. */
+    /** Returns whether a rejection for this reason applies to all nodes, so that trying another node is useless. */
     public static boolean noNodeCanSend(final String reason) {
         return reason.equals(ORIGINS_BUSY) || reason.equals(RATE_EXHAUSTED);
     }
@@ -86,36 +90,39 @@
         attempt(request.retry());
     }
 
-    /** Whether somebody still waits for the response, as far as this node knows. */
+    /** Returns whether a caller still waits for the response, as far as this node knows. */
     boolean isWanted() {
         return !finished && !request.cancellation().isRequested();
     }
 
-    /** Whether the request may be sent; asked right before its bytes leave. */
+    /** Returns whether the request may be sent. Called right before its bytes are written. */
     boolean maySend() {
         return !finished && request.cancellation().poll() == Cancellation.Standing.WANTED;
     }
 
-    /** What waits is given up; what was sent is aborted, or decides how the request ends. */
+    /**
+     * Gives up all waiting attempts. If a request was sent that must finish, its response ends the request; otherwise
+     * the request ends now and the exchanges in progress are aborted.
+     */
     private void onCancelled() {
         if (finished) {
             return;
         }
-        final boolean someSent = openSends.stream().anyMatch(OriginAttempt::mayHaveLeft);
-        journalCancelled(someSent);
+        final boolean anySent = openAttempts.stream().anyMatch(OriginAttempt::mayHaveBeenSent);
+        journalCancelled(anySent);
         List.copyOf(waits).forEach(AttemptWait::giveUp);
-        if (someSent && request.whenCancelled() == OriginRequest.WhenCancelled.FINISH_SENT) {
+        if (anySent && request.whenCancelled() == OriginRequest.WhenCancelled.FINISH_SENT) {
             return;
         }
-        final boolean mayRun = mayHaveRun || someSent;
+        final boolean mayRun = mayHaveRun || anySent;
         final OriginTransport.ExchangeResult result =
                 mayRun ? OriginTransport.ExchangeResult.LOST : OriginTransport.ExchangeResult.NOT_SENT;
         finish(OriginTransport.OriginResponse.without(result, CANCELLED), mayRun, loop().now(), 0);
     }
 
-    private void journalCancelled(final boolean someSent) {
+    private void journalCancelled(final boolean anySent) {
         final String place =
-                someSent ? "origin" : !openSends.isEmpty() ? "connecting" : waits.isEmpty() ? "attempt" : "queue";
+                anySent ? "origin" : !openAttempts.isEmpty() ? "connecting" : waits.isEmpty() ? "attempt" : "queue";
         dispatcher
                 .journal()
                 .add(Event.of(
@@ -132,13 +139,17 @@
                         loop().now() - startedAt));
     }
 
-    /** Commits an attempt and sends it; {@code isRetry}: an origin may have got the request before. */
+    /**
+     * Commits an attempt and sends it.
+     *
+     * @param isRetry whether an origin may have received the request before
+     */
     private void attempt(final boolean isRetry) {
         pendingAttempts++;
         request.attempts().commit(granted -> {
             if (!granted) {
                 pendingAttempts--;
-                noneLeft("no attempt is left", RETRY_AFTER_MS);
+                finishIfNothingPending("no attempt is left", RETRY_AFTER_MS);
             } else if (!isWanted()) {
                 abandon(CANCELLED, 0);
             } else if (isRetry && !trySpendRetry()) {
@@ -157,15 +168,15 @@
             final long retryAfterMs) {
         if (!finished) {
             finished = true;
-            cancelOpenSends();
+            cancelOpenAttempts();
             callback.accept(new OriginDispatcher.Completion(response, mayRun, sentAt, retryAfterMs));
         }
     }
 
-    /** Nothing that was sent and may run once is broken off. */
-    private void cancelOpenSends() {
-        openSends.stream()
-                .filter(attempt -> !request.atMostOnce() || !attempt.mayHaveLeft())
+    /** Cancels the exchanges in progress, except at-most-once requests that may have been sent. */
+    private void cancelOpenAttempts() {
+        openAttempts.stream()
+                .filter(attempt -> !request.atMostOnce() || !attempt.mayHaveBeenSent())
                 .toList()
                 .forEach(OriginAttempt::cancel);
     }
@@ -178,7 +189,7 @@
         return true;
     }
 
-    /** The committed attempt is not made: nothing of it was sent. */
+    /** Releases a committed attempt of which nothing was sent, together with its retry. */
     private void abandon(final String reason, final long retryAfterMs) {
         pendingAttempts--;
         request.attempts().release();
@@ -186,11 +197,11 @@
             unsentRetries--;
             dispatcher.giveBackRetry(request.service());
         }
-        noneLeft(reason, retryAfterMs);
+        finishIfNothingPending(reason, retryAfterMs);
     }
 
-    private void noneLeft(final String reason, final long retryAfterMs) {
-        if (openSends.isEmpty() && pendingAttempts == 0) {
+    private void finishIfNothingPending(final String reason, final long retryAfterMs) {
+        if (openAttempts.isEmpty() && pendingAttempts == 0) {
             final OriginTransport.ExchangeResult end =
                     mayHaveRun ? OriginTransport.ExchangeResult.LOST : OriginTransport.ExchangeResult.NOT_SENT;
             finish(OriginTransport.OriginResponse.without(end, reason), mayHaveRun, loop().now(), retryAfterMs);
@@ -204,13 +215,13 @@
         return candidates;
     }
 
-    /** Whether it can leave the queue: to an origin with a free slot, or because there is nothing to wait for. */
+    /** Returns whether the request can leave the queue: an origin has a free slot, or there is nothing to wait for. */
     private boolean canLeaveQueue() {
         final Map<ItemId, Origin> candidates = untriedOrigins();
         return !isWanted() || candidates.isEmpty() || dispatcher.load().anyAvailable(candidates, loop().now());
     }
 
-    /** For an attempt that is committed: looks for an origin. */
+    /** Chooses an origin for a committed attempt. */
     private void chooseOrigin() {
         if (!isWanted()) {
             abandon(CANCELLED, 0);
@@ -223,15 +234,15 @@
         } else if (candidates.isEmpty()) {
             abandon("no origin of the service is known or left to try", RETRY_AFTER_MS);
         } else {
-            offerTo(service, candidates, loop().now());
+            reserveAndSend(service, candidates, loop().now());
         }
     }
 
-    private void offerTo(final Service service, final Map<ItemId, Origin> candidates, final long now) {
+    private void reserveAndSend(final Service service, final Map<ItemId, Origin> candidates, final long now) {
         final Map<ItemId, Long> ages = new HashMap<>();
         candidates.keySet().forEach(id -> ages.put(id, now - dispatcher.view().learnedAt(id)));
         final List<ItemId> preferred = dispatcher.load().preferred(candidates, ages, now).stream()
-                .filter(id -> dispatcher.load().hasRoom(id, candidates.get(id), now))
+                .filter(id -> dispatcher.load().hasFreeSlot(id, candidates.get(id), now))
                 .toList();
         if (preferred.isEmpty()) {
             enqueue(candidates, now);
@@ -240,30 +251,31 @@
         if (service.ratePerOrigin() > 0 || service.rateLimit() > 0) {
             dispatcher.demand().add(request.service(), request.shard());
         }
-        long soonest = Long.MAX_VALUE;
+        long earliestRetryMs = Long.MAX_VALUE;
         for (final ItemId id : preferred) {
             final OptionalLong waitMs = dispatcher.rateLimitShare().reserve(service, id, request, now);
             if (waitMs.isPresent() && dispatcher.mayWaitForRate()) {
                 waitForRate(service, id, waitMs.getAsLong());
                 return;
             }
-            soonest = Math.min(soonest, dispatcher.rateLimitShare().retryAfterMs(id, now));
+            earliestRetryMs =
+                    Math.min(earliestRetryMs, dispatcher.rateLimitShare().retryAfterMs(id, now));
         }
-        abandon(RATE_EXHAUSTED, Math.max(RETRY_AFTER_MS, soonest));
+        abandon(RATE_EXHAUSTED, Math.max(RETRY_AFTER_MS, earliestRetryMs));
     }
 
-    /** No origin has a free slot: it waits its turn, or is rejected at once where the turn would come too late. */
+    /** Queues a request for which no origin has a free slot, or rejects it at once if its turn would come too late. */
     private void enqueue(final Map<ItemId, Origin> candidates, final long now) {
         final WaitQueue waitQueue = dispatcher.waitQueue();
         final double meanMs = dispatcher.load().meanMs(candidates, now);
         final int slots = candidates.values().stream().mapToInt(Origin::slots).sum();
-        final double expected = (waitQueue.countAhead(request.service(), request.priority()) + 1)
+        final double expectedWaitMs = (waitQueue.countAhead(request.service(), request.priority()) + 1)
                 * meanMs
                 * dispatcher.senderCount()
                 / Math.max(1, slots);
         final long maxWaitMs = request.deadline() - now - (long) meanMs;
-        if (expected > maxWaitMs || waitQueue.isFull(request.service())) {
-            abandon(ORIGINS_BUSY, (long) Math.max(250, Math.min(RETRY_AFTER_MS, expected)));
+        if (expectedWaitMs > maxWaitMs || waitQueue.isFull(request.service())) {
+            abandon(ORIGINS_BUSY, (long) Math.max(RETRY_AFTER_BUSY_MS, Math.min(RETRY_AFTER_MS, expectedWaitMs)));
             return;
         }
         await(new SlotWait(dispatcher, request, maxWaitMs, this::canLeaveQueue), this::chooseOrigin);
@@ -275,7 +287,7 @@
             waits.remove(wait);
             switch (end) {
                 case TURN -> onTurn.run();
-                case TIMED_OUT -> abandon(ORIGINS_BUSY, 250);
+                case TIMED_OUT -> abandon(ORIGINS_BUSY, RETRY_AFTER_BUSY_MS);
                 case GIVEN_UP -> abandon(CANCELLED, 0);
             }
         });
@@ -299,7 +311,7 @@
             abandon("too late to send", RETRY_AFTER_MS);
         } else if (standing == Cancellation.Standing.UNCONFIRMED) {
             await(new ConfirmationWait(dispatcher, request), () -> sendIfPermitted(id));
-        } else if (!dispatcher.mayUse(request.shard(), request.service())) {
+        } else if (!dispatcher.maySend(request.shard(), request.service())) {
             abandon("no held right to send", RETRY_AFTER_MS);
         } else if (origin == null) {
             tried.add(id);
@@ -320,13 +332,13 @@
         final boolean isRetry = request.retry() || reached > 0;
         reached++;
         final OriginAttempt attempt = new OriginAttempt(dispatcher, this, id, origin);
-        openSends.add(attempt);
+        openAttempts.add(attempt);
         attempt.send(isRetry);
     }
 
     /**
-     * Hedging: an idempotent request that is not answered for long is sent elsewhere too, and the first response
-     * counts.
+     * Hedges a slow request: an idempotent request without a timely response is also sent to another origin, and the
+     * first response is used.
      */
     void onSlow() {
         if (isWanted() && !request.atMostOnce() && pendingAttempts == 0 && loop().now() < request.deadline()) {
@@ -334,14 +346,14 @@
         }
     }
 
-    /** One send has ended, and nothing else of it can come. */
+    /** Removes an exchange that has ended; no further result of it can arrive. */
     void onClosed(final OriginAttempt attempt) {
-        openSends.remove(attempt);
+        openAttempts.remove(attempt);
     }
 
     void onEnd(final OriginTransport.OriginResponse response, final ItemId id, final Origin origin, final long sentAt) {
         if (response.result() == OriginTransport.ExchangeResult.NOT_PERMITTED) {
-            onBarred(response, id);
+            onNotPermitted(response, id);
             return;
         }
         final boolean atMostOnce = request.atMostOnce();
@@ -364,21 +376,27 @@
         }
     }
 
-    /** Nothing was sent: another origin may be asked at once if only this one is unavailable. */
-    private void onBarred(final OriginTransport.OriginResponse response, final ItemId id) {
+    /**
+     * Handles an exchange whose bytes were not permitted to be written, so that nothing was sent. Another origin is
+     * tried at once if this node may still send the request.
+     */
+    private void onNotPermitted(final OriginTransport.OriginResponse response, final ItemId id) {
         pendingAttempts++;
         reached--;
         if (request.cancellation().poll() == Cancellation.Standing.UNCONFIRMED) {
             tried.remove(id);
         }
-        if (dispatcher.mayUse(request.shard(), request.service()) && loop().now() < request.deadline()) {
+        if (dispatcher.maySend(request.shard(), request.service()) && loop().now() < request.deadline()) {
             chooseOrigin();
         } else {
             abandon(response.reason(), RETRY_AFTER_MS);
         }
     }
 
-    /** An origin that could not be reached got no request: its attempt is still to be made, and is no retry. */
+    /**
+     * Handles an unreachable origin. It received no request, so the attempt is still unused and the next send is no
+     * retry.
+     */
     private void onUnreachable(final OriginTransport.OriginResponse response, final long sentAt) {
         pendingAttempts++;
         reached--;
@@ -417,12 +435,14 @@
     }
 
     private void finishUnlessOpen(final OriginTransport.OriginResponse response, final long sentAt) {
-        if (openSends.isEmpty() && pendingAttempts == 0) {
+        if (openAttempts.isEmpty() && pendingAttempts == 0) {
             finish(
                     response,
                     mayHaveRun,
                     sentAt,
-                    response.result() == OriginTransport.ExchangeResult.NOT_EXECUTED ? 250 : RETRY_AFTER_MS);
+                    response.result() == OriginTransport.ExchangeResult.NOT_EXECUTED
+                            ? RETRY_AFTER_BUSY_MS
+                            : RETRY_AFTER_MS);
         }
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
@@ -23,7 +23,7 @@
 import org.rowanvalve.data.limit.RetryBudget;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Every request to an origin leaves a node through here; the lease is checked at the last moment. */
+/** Sends every origin request of this node. The lease is checked right before a request is written. */
 public final class OriginDispatcher {
     private static final int MAX_WAITING = 256;
     private final NodeSettings settings;
@@ -43,14 +43,21 @@
     private long requestSerial;
     private int waitingForRate;
 
-    /** {@code mayHaveRun}: bytes may have reached the origin. */
+    /**
+     * The end of an origin request.
+     *
+     * @param mayHaveRun whether the request may have reached an origin and been executed
+     */
     public record Completion(
             OriginTransport.OriginResponse response, boolean mayHaveRun, long sentAt, long retryAfterMs) {}
 
     /**
-     * {@code withoutQuorum}: no majority of voters is heard from; {@code peers}: the other shields that are heard from;
-     * {@code edgeCount}, {@code shields}: how many were ever heard from, including those that may be partitioned and go
-     * on sending.
+     * What this node knows of the cluster.
+     *
+     * @param withoutQuorum whether this node is without contact to a majority of voters
+     * @param peers the other shields that this node is in contact with
+     * @param edgeCount the number of edges ever seen, including partitioned edges that may still send
+     * @param shieldCount the number of shields ever seen, including partitioned shields that may still send
      */
     public record Surroundings(
             BooleanSupplier viewFresh,
@@ -92,19 +99,19 @@
                 LoadExchange.INTERVAL_MS, () -> configuration.serviceNames().forEach(this::drainQueue));
     }
 
-    /** Takes the retry bounds from the present settings; an edge has none of its own. */
+    /** Applies the retry limits of the current settings. An edge has no retry budget of its own. */
     public void reload() {
         if (!settings.hasRole(Role.EDGE)) {
             retryBudget.setLimits(settings.retryRatio(), settings.retrySlack());
         }
     }
 
-    /** Sends a request to origins of its service until one answers, within its deadline and attempts. */
+    /** Sends a request to origins of its service until one responds, within the request's deadline and attempts. */
     public void send(final OriginRequest request, final Consumer<Completion> callback) {
         new OriginDispatch(this, request, callback).start();
     }
 
-    boolean mayUse(final int shard, final String service) {
+    boolean maySend(final int shard, final String service) {
         if (shard == OriginRequest.NO_SHARD) {
             return (surroundings.viewFresh().getAsBoolean()
                             || surroundings.withoutQuorum().getAsBoolean())
@@ -113,14 +120,17 @@
         return leases.mayFill(shard) && surroundings.viewFresh().getAsBoolean() && configuration.hasService(service);
     }
 
-    /** Requests sent to origins and not ended. */
+    /** Returns the number of requests that wait to be sent or are in flight at origins. */
     public int inFlight() {
         return waitingForRate
                 + waitQueue.size()
                 + attemptsByShard.values().stream().mapToInt(Set::size).sum();
     }
 
-    /** Stops the fills of a shard: requests in flight get the grace time, then their connections are closed. */
+    /**
+     * Stops the fills of a shard. Requests in flight may finish within the grace time; then their connections are
+     * closed.
+     */
     public void stop(final int shard, final long grace, final Consumer<Boolean> done) {
         if (attemptsByShard(shard).isEmpty()) {
             done.accept(true);
@@ -132,7 +142,7 @@
         });
     }
 
-    /** Another shield's number of requests at origins. */
+    /** Applies another shield's report of its requests in flight at origins. */
     public void onLoadReport(final NodeId from, final LoadReport report) {
         load.onReport(from, report.requestsByOrigin(), loop.now());
         configuration.serviceNames().forEach(this::drainQueue);
@@ -144,16 +154,16 @@
         }
     }
 
-    /** The demand since this was last read. */
+    /** Returns and resets the demand counted since the last call. */
     public List<ShardDemand> drainDemand() {
         return demand.drain();
     }
 
-    /** This holder's part of a service's rate: the weights of the shards it may fill. */
+    /** Returns this lease holder's share of a service's rate: the sum of the weights of the shards that it may fill. */
     private double weightOf(final String service) {
         return leases.leases().keySet().stream()
                         .filter(leases::mayFill)
-                        .mapToInt(s -> configuration.plan().weight(service, s))
+                        .mapToInt(shard -> configuration.plan().weight(service, shard))
                         .sum()
                 / (double) PlacementPlan.WEIGHT_SCALE;
     }
@@ -166,7 +176,7 @@
                         .count()));
     }
 
-    /** The requests in flight under the lease of a shard. */
+    /** Returns the requests in flight under the lease of a shard. */
     Set<OriginAttempt> attemptsByShard(final int shard) {
         return attemptsByShard.computeIfAbsent(shard, k -> new HashSet<>());
     }
@@ -175,7 +185,7 @@
         return shard == OriginRequest.NO_SHARD ? "none" : leases.token(shard).toString();
     }
 
-    /** A name for a request that came without one. */
+    /** Returns a new ID for a request that came without one. */
     String newRequestId() {
         return settings.self().id().text() + "-" + settings.self().incarnation() + "-" + ++requestSerial;
     }
@@ -184,7 +194,7 @@
         return waitingForRate < MAX_WAITING;
     }
 
-    void waitingForRate(final int change) {
+    void adjustWaitingForRate(final int change) {
         waitingForRate += change;
     }
 
@@ -208,12 +218,12 @@
         return rateLimitShare;
     }
 
-    /** A first request to a service: it earns a fraction of a retry. */
+    /** Records a first request to a service, which adds a fraction of a retry to the budget. */
     void recordFirst(final String service) {
         retryBudget.recordFirst(service, loop.now());
     }
 
-    /** Whether a retry to a service may be made now; it is counted as made. */
+    /** Takes a retry from a service's budget. Returns whether the retry may be made now. */
     boolean trySpendRetry(final String service) {
         return retryBudget.trySpend(
                 service,
@@ -221,7 +231,7 @@
                 Math.max(senderCount(), surroundings.shieldCount().getAsInt()));
     }
 
-    /** A retry that was counted was surely not made. */
+    /** Returns a retry to the budget that is known not to have been made. */
     void giveBackRetry(final String service) {
         retryBudget.giveBack(service, loop.now());
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginLoad.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginLoad.java
@@ -11,8 +11,8 @@
 import org.rowanvalve.control.config.Origin;
 
 /**
- * The known load of each origin: this node's own requests there, other nodes' as they report them, the load that the
- * origin reported, its response time, and whether it has failed of late. Times are milliseconds of this node's clock.
+ * The known load of each origin: the requests in flight from this node, those that other nodes report, the load that
+ * the origin itself reported, its response time, and whether it failed recently. Times are in ms on this node's clock.
  */
 final class OriginLoad {
     private static final long REPORT_MAX_AGE_MS = 1500;
@@ -20,13 +20,27 @@
     private static final long FIRST_EJECTION_MS = 1000;
     private static final long LONGEST_EJECTION_MS = 8000;
     private static final double DEFAULT_MEAN_MS = 60;
-    /** An origin that stops when its connection is closed has stopped by then. */
+    /** Within this time, an origin that reacts to a closed connection has stopped the work. */
     private static final long LONGEST_ABANDONED_MS = 500;
 
+    /** Weights of the old mean and of a new sample in the moving average of response times. */
+    private static final double MEAN_WEIGHT = 0.8;
+
+    private static final double SAMPLE_WEIGHT = 0.2;
+    /** Added to the cost of an ejected origin, so that it sorts after all others. */
+    private static final double EJECTED_COST_MS = 1e9;
+    /** The factor by which the expected response time of a cold origin is raised. */
+    private static final double COLD_FACTOR = 2;
+    /** The part of the utilisation-weighted response time that is added to the cost while slots are free. */
+    private static final double UTILISATION_WEIGHT = 0.25;
+
+    private static final double SAME_REGION_MS = 3;
+    private static final double OTHER_REGION_MS = 90;
+
     private final String location;
     private final Map<ItemId, Statistics> statistics = new HashMap<>();
     private final Map<NodeId, Report> reportsByNode = new HashMap<>();
-    private final java.util.Set<String> hasEnded = new java.util.HashSet<>();
+    private final java.util.Set<String> endedInstances = new java.util.HashSet<>();
 
     private record Report(Map<String, Integer> counts, long receivedAt) {}
 
@@ -38,17 +52,20 @@
         private int unreported;
         private long unreportedAt = Long.MIN_VALUE / 2;
         private final TreeMap<Long, Integer> sendTimes = new TreeMap<>();
-        /** Until when requests that were broken off count as still at work there. */
+        /** For each aborted request, the time until which it counts as still running at the origin. */
         private final List<Long> abandonedUntil = new ArrayList<>();
 
-        private void saw(final double tookMs) {
-            meanMs = meanMs == 0 ? tookMs : meanMs * 0.8 + tookMs * 0.2;
+        private void recordResponseTime(final double tookMs) {
+            meanMs = meanMs == 0 ? tookMs : meanMs * MEAN_WEIGHT + tookMs * SAMPLE_WEIGHT;
         }
 
-        /** A request without a response so far: it says nothing where others take longer. */
-        private void sawAtLeast(final double tookMs) {
+        /**
+         * Records the time that a request without a response has taken so far. This time is only a lower bound of the
+         * response time, so it is ignored unless it exceeds the mean.
+         */
+        private void recordElapsedTime(final double tookMs) {
             if (tookMs > (meanMs == 0 ? DEFAULT_MEAN_MS : meanMs)) {
-                saw(tookMs);
+                recordResponseTime(tookMs);
             }
         }
 
@@ -72,7 +89,11 @@
         statistic.sendTimes.merge(now, 1, Integer::sum);
     }
 
-    /** {@code answered}: the origin answered, whatever it said. */
+    /**
+     * Records the end of an exchange.
+     *
+     * @param answered whether the origin sent a response, whatever its status
+     */
     void onEnd(
             final ItemId id,
             final long sentAt,
@@ -85,7 +106,7 @@
         if (answered) {
             statistic.failures = 0;
             statistic.ejectedUntil = Long.MIN_VALUE / 2;
-            statistic.saw(Math.max(1, now - sentAt));
+            statistic.recordResponseTime(Math.max(1, now - sentAt));
             if (load.slots() > 0) {
                 statistic.abandonedUntil.clear();
                 statistic.unreported = Math.max(0, load.running() + load.waiting() - inFlight(id, now, false));
@@ -94,7 +115,7 @@
         }
     }
 
-    /** What was taken for a failure may have been none: the request was broken off before its response. */
+    /** Reverts a recorded failure that may have been none, because the request was aborted before its response. */
     void withdrawFailure(final ItemId id, final long now) {
         final Statistics statistic = statisticsOf(id);
         if (statistic.failures > 0 && --statistic.failures == 0) {
@@ -103,12 +124,15 @@
     }
 
     /**
-     * A request that may be at work there was broken off. Its slot counts as taken until the origin tells its load, or for
-     * as long as the work would have lasted, but no longer than it takes to stop: for how long at most, in ms.
+     * Records that a request was aborted which the origin may still be executing. Its slot counts as taken until the
+     * origin reports its load, or for as long as the work would have lasted, but no longer than an origin needs to
+     * stop.
+     *
+     * @return the longest time for which the slot counts as taken, in ms
      */
     long onAbandoned(final ItemId id, final long sentAt, final long now) {
         final Statistics statistic = statisticsOf(id);
-        statistic.sawAtLeast(now - sentAt);
+        statistic.recordElapsedTime(now - sentAt);
         final long leftMs = statistic.meanMs == 0
                 ? LONGEST_ABANDONED_MS
                 : Math.max(0, Math.min(LONGEST_ABANDONED_MS, sentAt + (long) statistic.meanMs - now));
@@ -116,7 +140,7 @@
         return leftMs;
     }
 
-    /** It failed or does not answer: ejected for a while, longer each time. */
+    /** Records that an origin failed or does not respond. It is ejected for a time that grows with each failure. */
     void onFailure(final ItemId id, final long now) {
         final Statistics statistic = statisticsOf(id);
         if (statistic.ejectedUntil <= now) {
@@ -126,16 +150,16 @@
         }
     }
 
-    /** Another process answers at its address: this start of it is over for good. */
+    /** Records that another process responds at the origin's address, so that this instance has ended for good. */
     void onInstanceEnded(final ItemId id, final Origin origin) {
-        hasEnded.add(id.name() + "|" + origin.instance());
+        endedInstances.add(id.name() + "|" + origin.instance());
     }
 
     boolean hasEnded(final ItemId id, final Origin origin) {
-        return !hasEnded.isEmpty() && hasEnded.contains(id.name() + "|" + origin.instance());
+        return !endedInstances.isEmpty() && endedInstances.contains(id.name() + "|" + origin.instance());
     }
 
-    /** After a failure it gets one request at a time until one is answered. */
+    /** Returns whether an origin is ejected. After a failure it gets one request at a time until it answers one. */
     boolean isEjected(final ItemId id, final long now) {
         final Statistics statistic = statistics.get(id);
         return statistic != null && (statistic.ejectedUntil > now || statistic.failures > 0 && statistic.inFlight > 0);
@@ -164,11 +188,11 @@
         return inFlight(id, now, true);
     }
 
-    private int inFlight(final ItemId id, final long now, final boolean ghosts) {
+    private int inFlight(final ItemId id, final long now, final boolean includeEstimates) {
         final Statistics statistic = statisticsOf(id);
         int sum = statistic.inFlight
-                + (ghosts && now - statistic.unreportedAt < UNREPORTED_MAX_AGE_MS ? statistic.unreported : 0)
-                + (ghosts ? statistic.abandoned(now) : 0);
+                + (includeEstimates && now - statistic.unreportedAt < UNREPORTED_MAX_AGE_MS ? statistic.unreported : 0)
+                + (includeEstimates ? statistic.abandoned(now) : 0);
         for (final Report report : reportsByNode.values()) {
             sum += now - report.receivedAt() < REPORT_MAX_AGE_MS
                     ? report.counts().getOrDefault(id.name(), 0)
@@ -177,7 +201,7 @@
         return sum;
     }
 
-    /** Response time there, by requests that were answered and by the oldest that is not. */
+    /** Returns the larger of the mean response time and the age of the oldest request without a response. */
     double meanMs(final ItemId id, final long now) {
         final Statistics statistic = statistics.get(id);
         if (statistic == null) {
@@ -187,7 +211,7 @@
         return Math.max(statistic.meanMs, oldestMs);
     }
 
-    /** Over origins of one service. */
+    /** Returns the mean response time over the origins of one service. */
     double meanMs(final Map<ItemId, Origin> origins, final long now) {
         double sum = 0;
         int count = 0;
@@ -201,14 +225,15 @@
         return count == 0 ? DEFAULT_MEAN_MS : sum / count;
     }
 
-    boolean hasRoom(final ItemId id, final Origin origin, final long now) {
+    boolean hasFreeSlot(final ItemId id, final Origin origin, final long now) {
         return origin.slots() <= 0 || inFlight(id, now) < origin.slots() + Math.max(1, origin.slots() / 8);
     }
 
-    /** Whether any of them has a free slot and has not failed of late. */
+    /** Returns whether any of the origins has a free slot and is not ejected. */
     boolean anyAvailable(final Map<ItemId, Origin> origins, final long now) {
         return origins.entrySet().stream()
-                .anyMatch(entry -> hasRoom(entry.getKey(), entry.getValue(), now) && !isEjected(entry.getKey(), now));
+                .anyMatch(
+                        entry -> hasFreeSlot(entry.getKey(), entry.getValue(), now) && !isEjected(entry.getKey(), now));
     }
 
     double distanceMs(final Origin origin) {
@@ -216,24 +241,32 @@
             return 0;
         }
         final int slash = location.lastIndexOf('/');
-        return slash >= 0 && origin.location().startsWith(location.substring(0, slash + 1)) ? 3 : 90;
+        return slash >= 0 && origin.location().startsWith(location.substring(0, slash + 1))
+                ? SAME_REGION_MS
+                : OTHER_REGION_MS;
     }
 
-    /** Expected time until a response; origins that failed of late come after all others. */
+    /** Returns the expected time until a response. Origins that failed recently sort after all others. */
     private double expectedMs(
             final ItemId id, final Origin origin, final long warmUpMs, final double mean, final long now) {
-        final double oneMs = meanMs(id, now) > 0 ? meanMs(id, now) : mean;
+        final double responseMs = meanMs(id, now) > 0 ? meanMs(id, now) : mean;
         final int busy = inFlight(id, now);
         final double waitMs = origin.slots() > 0
-                ? Math.max(0, busy + 1 - origin.slots()) * oneMs / origin.slots()
+                ? Math.max(0, busy + 1 - origin.slots()) * responseMs / origin.slots()
                 : busy + origin.load();
-        final double nearMs = origin.slots() > 0 ? busy * oneMs / origin.slots() * 0.25 : 0;
-        return (isEjected(id, now) ? 1e9 : 0)
-                + (origin.slots() > 0 ? oneMs * (warmUpMs > 0 ? 2 : 1) + nearMs + distanceMs(origin) : 0)
+        final double utilisationMs = origin.slots() > 0 ? busy * responseMs / origin.slots() * UTILISATION_WEIGHT : 0;
+        return (isEjected(id, now) ? EJECTED_COST_MS : 0)
+                + (origin.slots() > 0
+                        ? responseMs * (warmUpMs > 0 ? COLD_FACTOR : 1) + utilisationMs + distanceMs(origin)
+                        : 0)
                 + waitMs;
     }
 
-    /** The best first. {@code ages}: how long ago each was learned of. */
+    /**
+     * Sorts origins by preference, the best first.
+     *
+     * @param ages the time since this node learned of each origin, in ms
+     */
     List<ItemId> preferred(final Map<ItemId, Origin> origins, final Map<ItemId, Long> ages, final long now) {
         final double mean = meanMs(origins, now);
         final Map<ItemId, Double> costs = new HashMap<>();
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginRequest.java
@@ -4,11 +4,16 @@
 import org.rowanvalve.data.limit.AttemptAllowance;
 
 /**
- * One request for an origin. {@code shard}: whose lease it needs, {@link #NO_SHARD} for one that needs none; {@code
- * atMostOnce}: bytes sent are never sent again; {@code deadline}: on this node's clock, in ms; {@code priority}: 0 is
- * rejected last; {@code attempts}: origins it may be sent to; {@code retry}: an origin may have got it before, from
- * here or from another node; {@code cancellation}: nothing is sent once it is requested; {@code whenCancelled}: what
- * becomes then of what was sent.
+ * One request for an origin.
+ *
+ * @param shard the shard whose lease the request needs, or {@link #NO_SHARD} if it needs none
+ * @param atMostOnce whether the request must not be sent again once bytes of it may have been sent
+ * @param deadline the time on this node's clock, in ms, after which the request is not sent
+ * @param priority the priority; requests of priority 0 are rejected last
+ * @param attempts the allowance for the number of origins to which the request may be sent
+ * @param retry whether an origin may have received the request before, from this node or another one
+ * @param cancellation the cancellation of the request; nothing is sent once it has been requested
+ * @param whenCancelled how an exchange in progress is handled on cancellation
  */
 public record OriginRequest(
         int shard,
@@ -22,11 +27,11 @@
         WhenCancelled whenCancelled) {
     public static final int NO_SHARD = -1;
 
-    /** What becomes of a send under way whose response nobody waits for. */
+    /** How an exchange in progress is handled once nobody waits for its response. */
     public enum WhenCancelled {
-        /** Its connection is closed, so that the origin can stop. */
+        /** Closes the connection, so that the origin can stop its work. */
         ABORT_SENT,
-        /** It goes on: it must not be broken off, or its response is kept. */
+        /** Lets the exchange finish, because it must not be interrupted or its response is stored. */
         FINISH_SENT
     }
 
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginResponseValidator.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginResponseValidator.java
@@ -4,7 +4,7 @@
 import org.rowanvalve.common.model.Hash;
 import org.rowanvalve.control.config.Origin;
 
-/** Checks what an origin's response must contain before any client may get it as a success. */
+/** Checks that an origin's response is valid before it is forwarded to a client as a success. */
 public final class OriginResponseValidator {
     public static final String INSTANCE_HEADER = "rv-stamp";
     public static final String REQUEST_HEADER = "rv-request";
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 import org.rowanvalve.control.config.Origin;
 
-/** Sends requests to origins. Nothing reaches an origin that is not the announced one. */
+/** Sends requests to origins. A request is written only to the origin instance that was announced. */
 public interface OriginTransport {
-    /** {@code NOT_EXECUTED}: the origin said that it did not run the request. */
+    /** The result of one exchange. {@code NOT_EXECUTED}: the origin stated that it did not execute the request. */
     enum ExchangeResult {
         COMPLETE,
         NOT_SENT,
@@ -41,12 +41,16 @@
         }
     }
 
-    /** The load that an origin reported with a response; {@code slots} 0 where it reported none. */
+    /** The load that an origin reported with a response; {@code slots} is 0 if it reported none. */
     record Load(int running, int waiting, int slots) {
         public static final Load NONE = new Load(0, 0, 0);
     }
 
-    /** {@code tags}: names under which the answer may be purged. */
+    /**
+     * An origin's response, or the reason why there is none.
+     *
+     * @param tags the tags by which a cached copy of the response can be purged
+     */
     record OriginResponse(
             ExchangeResult result,
             int status,
@@ -64,8 +68,8 @@
             this(result, status, headers, body, reason, List.of(), Load.NONE);
         }
 
-        public static OriginResponse without(final ExchangeResult end, final String why) {
-            return new OriginResponse(end, 0, Map.of(), new byte[0], why);
+        public static OriginResponse without(final ExchangeResult result, final String reason) {
+            return new OriginResponse(result, 0, Map.of(), new byte[0], reason);
         }
     }
 
@@ -75,17 +79,17 @@
         void abort();
     }
 
-    /** Checked in the last step before the request's bytes are written. */
+    /** The permission to write a request, checked in the last step before its bytes are written. */
     @FunctionalInterface
     interface Permission {
         /** Whether the bytes may be written now. */
         boolean mayWrite();
     }
 
-    /** Sends one request to one origin; {@code then} is called once, in the event loop. */
-    Exchange send(Origin origin, OutboundRequest request, Permission gate, Consumer<OriginResponse> then);
+    /** Sends one request to one origin. {@code callback} is called exactly once, in the event loop. */
+    Exchange send(Origin origin, OutboundRequest request, Permission permission, Consumer<OriginResponse> callback);
 
-    /** What a response lacks to be given to a client; empty where it lacks nothing. */
+    /** Returns why a response must not be forwarded to a client, or an empty string if it is valid. */
     default String error(final Origin origin, final OutboundRequest sent, final OriginResponse response) {
         return OriginResponseValidator.error(origin, sent, response.headers(), response.body());
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
@@ -10,12 +10,12 @@
 import org.rowanvalve.data.settings.NodeSettings;
 
 /**
- * This node's share of a service's rate limit or of its origins' rates, and when the next request may leave within it.
+ * This node's share of a service's rate limit or of the rates of its origins. It schedules requests within that share.
  */
 final class RateLimitShare {
     /**
-     * The parts of a rate limit for holders' fills, for requests that shields pass through, and for edges that hear
-     * from no shield.
+     * The parts of a rate limit for fills by lease holders, for requests that shields pass through, and for edges that
+     * are not connected to any shield.
      */
     private static final double FILLS_PART = 0.8;
 
@@ -28,7 +28,7 @@
     private final IntSupplier senderCount;
     private final ToDoubleFunction<String> weightOf;
 
-    /** {@code weightOf}: this holder's share of the rate of the service named. */
+    /** @param weightOf returns this lease holder's share of the rate of a service, by service name */
     RateLimitShare(
             final NodeSettings settings,
             final IntSupplier edgeCount,
@@ -41,13 +41,13 @@
     }
 
     /**
-     * The wait until a request may leave for this origin, or empty where that would be too late for it. Less urgent
-     * requests may wait for less long, so they are rejected first where the limit is short.
+     * Reserves a send time and returns the wait until then in ms, or empty if the request would be sent too late.
+     * Requests of lower priority may wait less long, so they are rejected first when the limit is exhausted.
      */
     OptionalLong reserve(final Service service, final ItemId origin, final OriginRequest request, final long now) {
         final String name = request.service();
         if (service.rateLimit() > 0) {
-            return limiter.take(name, service.rateLimit(), partOf(name), 1, now, longestWait(service, request, now));
+            return limiter.take(name, service.rateLimit(), shareOf(name), 1, now, longestWait(service, request, now));
         }
         return service.ratePerOrigin() <= 0
                 ? OptionalLong.of(0)
@@ -60,20 +60,30 @@
                         Math.min(LONGEST_WAIT_MS, request.deadline() - now));
     }
 
-    /** What was reserved is not used: the request is not sent. {@code dueAt}: when it might have left. */
+    /**
+     * Returns a reservation whose request is not sent.
+     *
+     * @param dueAt the reserved send time
+     */
     void giveBack(final Service service, final ItemId origin, final String serviceName, final long dueAt) {
         limiter.giveBack(service.rateLimit() > 0 ? serviceName : origin.name(), dueAt);
     }
 
-    /** Two places in the row where that is not too long, whatever the rank: with one, each lull would be lost. */
+    /**
+     * Returns the longest permitted wait. It covers at least two intervals between requests, within the overall limit
+     * and whatever the priority: with only one interval, the capacity of each short pause between requests would be
+     * lost.
+     */
     private long longestWait(final Service service, final OriginRequest request, final long now) {
-        final double intervalMs = 1000 / (service.rateLimit() * partOf(request.service()));
+        final double intervalMs = 1000 / (service.rateLimit() * shareOf(request.service()));
         final double longestMs = Math.max(2 * intervalMs, LONGEST_WAIT_MS / (1.0 + request.priority()));
         return (long) Math.min(Math.min(LONGEST_WAIT_MS, longestMs), request.deadline() - now);
     }
 
-    /** What this node's fills leave unused is for what it passes through, and the other way round. */
-    private double partOf(final String service) {
+    /**
+     * Returns this node's part of the limit. Fills and passed-through requests share it, so either can use the rest.
+     */
+    private double shareOf(final String service) {
         return isEdge
                 ? EDGES_PART / edgeCount.getAsInt()
                 : FILLS_PART * weightOf.applyAsDouble(service) + PASS_THROUGH_PART / senderCount.getAsInt();
--- a/data/src/main/java/org/rowanvalve/data/origin/RateWait.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/RateWait.java
@@ -3,7 +3,7 @@
 import org.rowanvalve.common.model.ItemId;
 import org.rowanvalve.control.config.Service;
 
-/** A reserved turn within the rate of a service or of an origin. */
+/** A wait for a reserved send time within the rate limit of a service or of an origin. */
 final class RateWait extends AttemptWait {
     private final Service service;
     private final ItemId origin;
@@ -25,19 +25,19 @@
 
     @Override
     void start() {
-        dispatcher().waitingForRate(1);
+        dispatcher().adjustWaitingForRate(1);
         dispatcher().loop().schedule(waitMs, this::onDue);
     }
 
     @Override
     void release() {
-        dispatcher().waitingForRate(-1);
+        dispatcher().adjustWaitingForRate(-1);
         dispatcher().rateLimitShare().giveBack(service, origin, request().service(), dueAt);
     }
 
     private void onDue() {
         if (!hasEnded()) {
-            dispatcher().waitingForRate(-1);
+            dispatcher().adjustWaitingForRate(-1);
             end(End.TURN);
         }
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/SlotWait.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/SlotWait.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 
-/** A place in the queue for a free slot at any origin of a service. */
+/** A wait in the queue for a free slot at any origin of a service. */
 final class SlotWait extends AttemptWait {
     private final long maxWaitMs;
     private final BooleanSupplier canLeave;
--- a/data/src/main/java/org/rowanvalve/data/origin/WaitQueue.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/WaitQueue.java
@@ -8,16 +8,21 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Requests that wait for a free slot at any origin of their service: the higher priority first, then the earlier. */
+/** Requests that wait for a free slot at any origin of their service, ordered by priority and then by arrival. */
 final class WaitQueue {
     private static final int CAPACITY = 256;
     private final Map<String, PriorityQueue<Place>> queues = new HashMap<>();
     private long serial;
 
-    /** {@code canGo}: whether it could go now; {@code action} is run once when the turn has come. */
-    record Place(int priority, long sequence, BooleanSupplier canGo, Runnable action) {}
+    /**
+     * A queued request.
+     *
+     * @param canLeave whether the request can leave the queue now
+     * @param action run once when the request leaves the queue in its turn
+     */
+    record Place(int priority, long sequence, BooleanSupplier canLeave, Runnable action) {}
 
-    /** How many are served before one of this priority. */
+    /** Returns how many queued requests are served before a new one of this priority. */
     int countAhead(final String service, final int priority) {
         final PriorityQueue<Place> queue = queues.get(service);
         return queue == null
@@ -31,8 +36,8 @@
         return queues.containsKey(service) && queues.get(service).size() >= CAPACITY;
     }
 
-    Place add(final String service, final int priority, final BooleanSupplier canGo, final Runnable action) {
-        final Place place = new Place(priority, ++serial, canGo, action);
+    Place add(final String service, final int priority, final BooleanSupplier canLeave, final Runnable action) {
+        final Place place = new Place(priority, ++serial, canLeave, action);
         queues.computeIfAbsent(
                         service,
                         k -> new PriorityQueue<>(
@@ -45,12 +50,15 @@
         return queues.containsKey(service) && queues.get(service).remove(place);
     }
 
-    /** The first in turn that could go now, or null; who could not keeps its place. */
+    /**
+     * Removes and returns the first request that can leave now, or null. Requests that cannot leave keep their
+     * position.
+     */
     Place next(final String service) {
         final PriorityQueue<Place> queue = queues.get(service);
         final List<Place> skipped = new ArrayList<>();
         Place place = queue == null ? null : queue.poll();
-        while (place != null && !place.canGo().getAsBoolean()) {
+        while (place != null && !place.canLeave().getAsBoolean()) {
             skipped.add(place);
             place = queue.poll();
         }
--- a/data/src/main/java/org/rowanvalve/data/request/ClientRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ClientRequest.java
@@ -4,8 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * A client's request. {@code requestId}: the client's own name for this attempt, empty where it gave none; {@code
- * timeoutMs}: how much longer the client waits, 0 where it did not say; {@code range}: the part it asks for, or null.
+ * A client's request.
+ *
+ * @param requestId the ID that the client chose for this attempt, or empty if it sent none
+ * @param timeoutMs how much longer the client waits, in ms, or 0 if it sent no timeout
+ * @param range the value of the Range header, or null
  */
 public record ClientRequest(
         String method,
@@ -23,10 +26,10 @@
         this(method, "", path, key, body, contentType, "", 0, null, Map.of());
     }
 
-    /** Without the conditions of this one caller, for an answer that many get. */
+    /** Returns a copy without conditional headers, for a response that is shared by several clients. */
     public ClientRequest withoutConditions() {
         final Map<String, String> remaining = new TreeMap<>(headers);
-        remaining.keySet().removeIf(k -> k.regionMatches(true, 0, "if-", 0, 3));
+        remaining.keySet().removeIf(name -> name.regionMatches(true, 0, "if-", 0, 3));
         return new ClientRequest(method, host, path, key, body, contentType, requestId, timeoutMs, range, remaining);
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
@@ -5,7 +5,12 @@
 import org.rowanvalve.common.model.RequestOutcome;
 import org.rowanvalve.control.json.Json;
 
-/** {@code fate}: done, refused (cannot run any more) or unknown; {@code retryAfterMs}: when to come back, 0 where nothing is said. */
+/**
+ * A response to a client.
+ *
+ * @param fate whether the request was executed, was rejected and will never be executed, or has an unknown outcome
+ * @param retryAfterMs the delay after which the client should retry, in ms, or 0 if none is given
+ */
 public record ClientResponse(
         int status, RequestOutcome fate, Map<String, String> headers, byte[] body, long retryAfterMs) {
     public ClientResponse(
@@ -13,12 +18,16 @@
         this(status, fate, headers, body, 0);
     }
 
-    /** Not executed and never will be; {@code retryMs}: when to come back, in ms. */
+    /**
+     * Creates a response to a request that was not executed and never will be.
+     *
+     * @param retryMs the delay after which the client should retry, in ms
+     */
     public static ClientResponse reject(final int status, final String reason, final long retryMs) {
         return create(status, RequestOutcome.REFUSED, reason, retryMs);
     }
 
-    /** 504: it may have been executed or not. */
+    /** Creates a 504 response to a request that may or may not have been executed. */
     public static ClientResponse unsure(final String reason) {
         return create(504, RequestOutcome.UNKNOWN, reason, 0);
     }
--- a/data/src/main/java/org/rowanvalve/data/request/EndToEndHeaders.java
+++ b/data/src/main/java/org/rowanvalve/data/request/EndToEndHeaders.java
@@ -7,7 +7,7 @@
 
 /** The headers of an origin's response that are forwarded to the client. */
 public final class EndToEndHeaders {
-    /** Headers that concern one connection, or that say what another member says already. */
+    /** Headers that apply to one connection only, or that another node of the cluster sets already. */
     private static final Set<String> CONNECTION_HEADERS = Set.of(
             "connection",
             "keep-alive",
@@ -23,7 +23,7 @@
 
     private EndToEndHeaders() {}
 
-    /** Those of an origin's headers that are forwarded. */
+    /** Returns the headers of an origin's response without those that are not forwarded. */
     public static Map<String, String> of(final Map<String, String> headers) {
         final Map<String, String> endToEnd = new TreeMap<>(headers);
         endToEnd.keySet().removeAll(CONNECTION_HEADERS);
--- a/data/src/main/java/org/rowanvalve/data/request/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests of clients and the responses to them.
+ * Client requests and their responses.
  *
  * <p>Depends on {@code control.json} and {@code data.origin}.
  */
--- a/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/routing/ShardRouting.java
@@ -5,19 +5,19 @@
 import org.rowanvalve.control.config.RouteMode;
 import org.rowanvalve.control.placement.PlacementPlan;
 
-/** Which shard an object or an operation belongs to; the same on every node. */
+/** Maps an object or an operation to its shard. Every node computes the same shard. */
 public final class ShardRouting {
     private ShardRouting() {}
 
-    /** The name of an object or operation; the same on every node. */
+    /** Returns the cache key of an object or an operation. Every node computes the same key. */
     public static String cacheKey(final ConfiguredRoute route, final String path, final String key) {
         return route.route()
                 .cacheKeyOf(route.name(), route.route().hasMode(RouteMode.KEYED) && key != null ? "#" + key : path);
     }
 
     /**
-     * Objects belong to one of the shards of the region that asks, so that what a region reads is filled there;
-     * operations to one of all shards, whoever asks.
+     * Maps an object to one of the shards of the requesting region, so that a region fills its cache from shards of its
+     * own. Maps an operation to one of all shards, whichever region requests it.
      */
     public static int shardOf(
             final ConfiguredRoute route,
--- a/data/src/main/java/org/rowanvalve/data/routing/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which shard an object or an operation belongs to; the same on every node.
+ * Maps objects and operations to shards, with the same result on every node.
  *
  * <p>Depends on {@code control.config} and {@code control.placement}.
  */
--- a/data/src/test/java/org/rowanvalve/data/edge/ShardRoutingTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/ShardRoutingTest.java
@@ -14,7 +14,7 @@
 import org.rowanvalve.data.routing.ShardRouting;
 
 class ShardRoutingTest {
-    private static ConfiguredRoute row(final String host, final RouteMode mode) {
+    private static ConfiguredRoute route(final String host, final RouteMode mode) {
         return new ConfiguredRoute(
                 "r",
                 new Route("/", "s", mode, 1000, true, "", host, List.of(), true, 0, 0, 0, 3, ""),
@@ -23,30 +23,30 @@
     }
 
     @Test
-    void objectsAreFilledWhereTheyAreReadAndOperationsInOnePlace() {
-        final Set<Integer> seen = new HashSet<>();
+    void objectsMapToTheReadingRegionAndOperationsToOneShard() {
+        final Set<Integer> shards = new HashSet<>();
         for (int i = 0; i < 500; i++) {
-            for (int place = 0; place < 3; place++) {
-                final int shard = ShardRouting.shardOf(row("h", RouteMode.CACHED), "/" + i, null, 32, 3, place);
-                assertEquals(place, shard % 3);
+            for (int region = 0; region < 3; region++) {
+                final int shard = ShardRouting.shardOf(route("h", RouteMode.CACHED), "/" + i, null, 32, 3, region);
+                assertEquals(region, shard % 3);
                 assertTrue(shard < 32);
-                seen.add(shard);
+                shards.add(shard);
                 assertEquals(
-                        ShardRouting.shardOf(row("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, 0),
-                        ShardRouting.shardOf(row("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, place));
+                        ShardRouting.shardOf(route("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, 0),
+                        ShardRouting.shardOf(route("h", RouteMode.KEYED), "/x", "k" + i, 32, 3, region));
             }
         }
-        assertEquals(30, seen.size(), "the shards of each place");
+        assertEquals(30, shards.size(), "the shards of all regions");
     }
 
     @Test
-    void oneKeyIsOneOperationWhateverItsPathAndRoute() {
+    void operationKeyIsIndependentOfThePath() {
         assertEquals(
-                ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/x", "k"),
-                ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/y", "k"));
-        assertTrue(!ShardRouting.cacheKey(row("h", RouteMode.KEYED), "/x", "k")
-                .equals(ShardRouting.cacheKey(row("i", RouteMode.KEYED), "/x", "k")));
-        assertTrue(!ShardRouting.cacheKey(row("h", RouteMode.CACHED), "/x", "k")
-                .equals(ShardRouting.cacheKey(row("h", RouteMode.CACHED), "/y", "k")));
+                ShardRouting.cacheKey(route("h", RouteMode.KEYED), "/x", "k"),
+                ShardRouting.cacheKey(route("h", RouteMode.KEYED), "/y", "k"));
+        assertTrue(!ShardRouting.cacheKey(route("h", RouteMode.KEYED), "/x", "k")
+                .equals(ShardRouting.cacheKey(route("i", RouteMode.KEYED), "/x", "k")));
+        assertTrue(!ShardRouting.cacheKey(route("h", RouteMode.CACHED), "/x", "k")
+                .equals(ShardRouting.cacheKey(route("h", RouteMode.CACHED), "/y", "k")));
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/origin/AnsweringOrigins.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/AnsweringOrigins.java
@@ -6,16 +6,16 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.config.Origin;
 
-/** Origins that answer all that they are sent. */
+/** Origins that answer every request. */
 public record AnsweringOrigins(EventLoop loop, List<OriginTransport.OutboundRequest> sent) implements OriginTransport {
     @Override
     public Exchange send(
             final Origin origin,
             final OutboundRequest request,
-            final Permission gate,
-            final Consumer<OriginResponse> then) {
+            final Permission permission,
+            final Consumer<OriginResponse> callback) {
         sent.add(request);
-        loop.execute(() -> then.accept(new OriginResponse(
+        loop.execute(() -> callback.accept(new OriginResponse(
                 ExchangeResult.COMPLETE, 200, Map.of("connection", "close", "x", "y"), "abcd".getBytes(), "")));
         return () -> {};
     }
--- a/data/src/test/java/org/rowanvalve/data/origin/CancellationFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/CancellationFixture.java
@@ -34,16 +34,16 @@
 import org.rowanvalve.data.limit.AttemptAllowance;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** A dispatcher on virtual time, whose origins answer by hand, and requests that can be cancelled. */
+/** A dispatcher on virtual time, origins whose responses the test triggers, and requests that can be cancelled. */
 abstract class CancellationFixture {
-    /** Of which this node has a tenth: one request each 100 ms. */
+    /** A rate limit of which this node has a tenth, that is one request each 100 ms. */
     static final double PACED_RATE = 100;
 
     final VirtualTimeLoop loop = new VirtualTimeLoop();
     final EventJournal journal = new EventJournal(loop, 1000);
     private final ItemStore items = new ItemStore(loop, journal);
     private final ConfigurationView configuration = new ConfigurationView(items);
-    private final Transport transport = (recipient, msg, wait, then) -> {};
+    private final Transport transport = (recipient, message, timeout, callback) -> {};
     final List<Sent> sent = new ArrayList<>();
     final List<Connecting> connecting = new ArrayList<>();
     final List<OriginDispatcher.Completion> ends = new ArrayList<>();
@@ -51,7 +51,7 @@
     boolean slowConnections;
     final OriginDispatcher dispatcher = dispatcher();
 
-    /** A request whose bytes have left. */
+    /** A request whose bytes have been written. */
     static final class Sent implements OriginTransport.Exchange {
         private final String origin;
         final String path;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** A connection that is being opened for a request. */
+    /** A request whose connection is being opened. */
     final class Connecting implements OriginTransport.Exchange {
         final OriginTransport.Permission permission;
         final Consumer<OriginTransport.OriginResponse> callback;
@@ -127,7 +127,7 @@
                 journal,
                 () -> true,
                 List::of,
-                (s, g, d) -> d.accept(true));
+                (shard, grace, done) -> done.accept(true));
         return new OriginDispatcher(
                 NodeSettings.builderFor(self).retryLimits(0.2, 60).build(),
                 loop,
@@ -155,11 +155,12 @@
                 new Origin("s", "10.0.0.1", 80, name, ServiceKind.OPEN, 0, 0, false, 1, "z", slots, 0));
     }
 
-    final class Order {
+    /** A cancellable request, given to the dispatcher on construction. */
+    final class PendingRequest {
         final Cancellation cancellation = new Cancellation();
         final AttemptAllowance attempts;
 
-        Order(final String path, final boolean atMostOnce, final OriginRequest.WhenCancelled whenCancelled) {
+        PendingRequest(final String path, final boolean atMostOnce, final OriginRequest.WhenCancelled whenCancelled) {
             attempts = AttemptAllowance.of(1, askedForAttempts::add);
             dispatcher.send(
                     new OriginRequest(
@@ -176,7 +177,7 @@
             loop.run(1);
         }
 
-        Order(final String path) {
+        PendingRequest(final String path) {
             this(path, false, OriginRequest.WhenCancelled.ABORT_SENT);
         }
 
@@ -185,9 +186,9 @@
         }
     }
 
-    void assertEndedUnsent(final Order order) {
+    void assertEndedUnsent(final PendingRequest pending) {
         assertEquals(1, ends.size());
         assertFalse(ends.get(0).mayHaveRun());
-        assertEquals(1, order.attempts.unused(), "its attempt comes back");
+        assertEquals(1, pending.attempts.unused(), "the attempt is released");
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/origin/CancelledRequestTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/CancelledRequestTest.java
@@ -10,7 +10,7 @@
 import org.rowanvalve.data.cancel.Cancellation;
 import org.rowanvalve.data.limit.AttemptAllowance;
 
-/** A request whose response nobody waits for any more, wherever it waits or is worked on at the node that sends it. */
+/** Cancellation of a request in each state that it can have at the node that sends it. */
 class CancelledRequestTest extends CancellationFixture {
     private String lastPlace() {
         return journal.recent().stream()
@@ -21,38 +21,38 @@
     }
 
     @Test
-    void oneThatWaitsForASlotLeavesTheQueueAtOnce() {
+    void requestCancelledWhileWaitingForASlotLeavesTheQueueAtOnce() {
         service(0);
         origin("a", 1);
-        final Order first = new Order("/1");
-        new Order("/2");
-        final Order waits = new Order("/waits");
-        new Order("/stays");
+        final PendingRequest first = new PendingRequest("/1");
+        new PendingRequest("/2");
+        final PendingRequest waiting = new PendingRequest("/waits");
+        new PendingRequest("/stays");
         assertEquals(2, sent.size());
-        waits.cancel();
-        assertEndedUnsent(waits);
+        waiting.cancel();
+        assertEndedUnsent(waiting);
         assertEquals("queue", lastPlace());
         assertEquals(3, dispatcher.inFlight());
         sent.get(0).answer(new OriginTransport.Load(1, 0, 1));
         loop.run(5);
-        assertEquals("/stays", sent.get(2).path, "who stays is next");
+        assertEquals("/stays", sent.get(2).path, "the remaining request is next");
         assertEquals(0, first.attempts.unused());
     }
 
     @Test
-    void oneThatWaitsForItsPaceGivesItsPlaceToTheNext() {
+    void requestCancelledWhileWaitingForTheRateReleasesItsTurn() {
         service(PACED_RATE);
         origin("a", 0);
-        final Order first = new Order("/1");
-        new Order("/2");
+        final PendingRequest first = new PendingRequest("/1");
+        new PendingRequest("/2");
         assertEquals(0, sent.size());
         assertEquals(2, dispatcher.inFlight());
         first.cancel();
         assertEndedUnsent(first);
         assertEquals(1, dispatcher.inFlight());
-        new Order("/3");
+        new PendingRequest("/3");
         loop.run(110);
-        assertEquals("/3", sent.get(0).path, "in the place that was given back");
+        assertEquals("/3", sent.get(0).path, "sent in the released turn");
         loop.run(50);
         assertEquals(1, sent.size());
         loop.run(50);
@@ -62,45 +62,45 @@
     }
 
     @Test
-    void oneWhoseConnectionIsBeingOpenedIsNotSent() {
+    void requestCancelledWhileConnectingIsNotSent() {
         service(0);
         origin("a", 4);
         slowConnections = true;
         for (final boolean atMostOnce : new boolean[] {false, true}) {
             ends.clear();
             connecting.clear();
-            final Order order = new Order(
+            final PendingRequest pending = new PendingRequest(
                     "/" + atMostOnce,
                     atMostOnce,
                     atMostOnce ? OriginRequest.WhenCancelled.FINISH_SENT : OriginRequest.WhenCancelled.ABORT_SENT);
-            order.cancel();
-            assertEndedUnsent(order);
+            pending.cancel();
+            assertEndedUnsent(pending);
             assertEquals("connecting", lastPlace());
             assertTrue(connecting.get(0).aborted);
-            assertFalse(connecting.get(0).permission.mayWrite(), "asked at the last moment");
+            assertFalse(connecting.get(0).permission.mayWrite(), "checked right before writing");
             assertEquals(0, dispatcher.inFlight());
         }
     }
 
     @Test
-    void oneThatIsRepeatableAndAtItsOriginIsAborted() {
+    void cancelledRepeatableRequestAtTheOriginIsAborted() {
         service(0);
         origin("a", 4);
-        final Order order = new Order("/1");
-        order.cancel();
+        final PendingRequest pending = new PendingRequest("/1");
+        pending.cancel();
         assertTrue(sent.get(0).aborted);
         assertEquals("origin", lastPlace());
-        assertTrue(ends.get(0).mayHaveRun(), "nobody claims that it has not run");
-        assertEquals(0, order.attempts.unused(), "its attempt stays used");
+        assertTrue(ends.get(0).mayHaveRun(), "the outcome is not reported as not executed");
+        assertEquals(0, pending.attempts.unused(), "the attempt remains used");
         assertEquals(0, dispatcher.inFlight());
     }
 
     @Test
-    void oneThatMayRunOnceAndIsAtItsOriginGoesOn() {
+    void cancelledAtMostOnceRequestAtTheOriginContinues() {
         service(0);
         origin("a", 4);
-        final Order order = new Order("/1", true, OriginRequest.WhenCancelled.FINISH_SENT);
-        order.cancel();
+        final PendingRequest pending = new PendingRequest("/1", true, OriginRequest.WhenCancelled.FINISH_SENT);
+        pending.cancel();
         assertFalse(sent.get(0).aborted);
         assertEquals(0, ends.size());
         sent.get(0).answer(OriginTransport.Load.NONE);
@@ -109,11 +109,11 @@
     }
 
     @Test
-    void whatGoesOnIsNotSentOnceMore() {
+    void cancelledRequestThatContinuesIsNotRetried() {
         service(0);
         origin("a", 4);
         origin("b", 4);
-        final Order fill = new Order("/1", false, OriginRequest.WhenCancelled.FINISH_SENT);
+        final PendingRequest fill = new PendingRequest("/1", false, OriginRequest.WhenCancelled.FINISH_SENT);
         fill.cancel();
         sent.get(0)
                 .callback
@@ -121,42 +121,42 @@
         loop.run(2000);
         assertEquals(1, sent.size());
         assertEquals(1, ends.size());
-        assertEquals(0, askedForAttempts.size(), "its edge is not asked for a further attempt");
+        assertEquals(0, askedForAttempts.size(), "the edge is not asked for another attempt");
     }
 
     @Test
-    void oneThatWaitsForAFurtherAttemptIsNotSentWhenItIsGranted() {
+    void requestCancelledWhileWaitingForAnAttemptIsNotSentWhenItIsGranted() {
         service(0);
         origin("a", 4);
         origin("b", 4);
-        final Order order = new Order("/1");
+        final PendingRequest pending = new PendingRequest("/1");
         sent.get(0)
                 .callback
                 .accept(OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "reset"));
         assertEquals(1, askedForAttempts.size());
-        order.cancel();
+        pending.cancel();
         assertEquals(1, ends.size());
         assertEquals("attempt", lastPlace());
         askedForAttempts.get(0).accept(1);
         loop.run(100);
         assertEquals(1, sent.size());
-        assertEquals(1, order.attempts.unused(), "the granted one comes back");
+        assertEquals(1, pending.attempts.unused(), "the granted attempt is released");
     }
 
-    /** A hedged attempt ends when its twin has answered, and the other way round. */
+    /** Of two hedged attempts, the one that is still open is aborted when the other is answered. */
     @Test
-    void theTwinOfAnAnsweredAttemptIsAborted() {
+    void hedgedAttemptIsAbortedOnceTheOtherIsAnswered() {
         service(0);
         origin("a", 4);
         origin("b", 4);
         for (int i = 0; i < 20; i++) {
-            new Order("/earn" + i);
+            new PendingRequest("/earn" + i);
             sent.get(i).answer(OriginTransport.Load.NONE);
         }
         sent.clear();
-        new Order("/1");
+        new PendingRequest("/1");
         loop.run(400);
-        assertEquals(1, askedForAttempts.size(), "no answer for long");
+        assertEquals(1, askedForAttempts.size(), "no timely response");
         askedForAttempts.get(0).accept(1);
         assertEquals(2, sent.size());
         sent.get(1).answer(OriginTransport.Load.NONE);
@@ -166,32 +166,32 @@
     }
 
     @Test
-    void theSlotOfAnAbortedRequestCountsAsTakenUntilTheOriginTellsItsLoad() {
+    void slotOfAnAbortedRequestIsTakenUntilTheOriginReportsItsLoad() {
         service(0);
         origin("a", 2);
-        final Order first = new Order("/1");
-        new Order("/2");
-        new Order("/3");
-        assertEquals(3, sent.size(), "one more than its slots");
+        final PendingRequest first = new PendingRequest("/1");
+        new PendingRequest("/2");
+        new PendingRequest("/3");
+        assertEquals(3, sent.size(), "one more than the origin has slots");
         first.cancel();
-        new Order("/4");
-        assertEquals(3, sent.size(), "it may still be at work there");
+        new PendingRequest("/4");
+        assertEquals(3, sent.size(), "the aborted request may still be running at the origin");
         sent.get(1).answer(new OriginTransport.Load(1, 0, 2));
         loop.run(5);
-        assertEquals(4, sent.size(), "it is not");
+        assertEquals(4, sent.size(), "the reported load shows that the aborted request has ended");
     }
 
     @Test
-    void theSlotOfAnAbortedRequestIsFreeOnceItsWorkWouldHaveEnded() {
+    void slotOfAnAbortedRequestIsFreeOnceItsWorkWouldHaveEnded() {
         service(0);
         origin("a", 1);
-        new Order("/measured");
+        new PendingRequest("/measured");
         loop.run(149);
         sent.get(0).answer(OriginTransport.Load.NONE);
-        final Order first = new Order("/1");
-        new Order("/2");
+        final PendingRequest first = new PendingRequest("/1");
+        new PendingRequest("/2");
         first.cancel();
-        new Order("/3");
+        new PendingRequest("/3");
         loop.run(100);
         assertEquals(3, sent.size());
         loop.run(100);
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void whatWasCancelledBeforeItBeganIsNotSent() {
+    void requestCancelledBeforeItsStartIsNotSent() {
         service(0);
         origin("a", 4);
         final Cancellation cancellation = new Cancellation();
--- a/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
@@ -36,20 +36,20 @@
 import org.rowanvalve.data.VirtualTimeLoop;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Slots, the waiting line, and how often a request may be sent. */
+/** Slots, the wait queue and the limits on retries. */
 class OriginDispatcherTest {
     private final VirtualTimeLoop loop = new VirtualTimeLoop();
     private final EventJournal journal = new EventJournal(loop, 1000);
     private final ItemStore items = new ItemStore(loop, journal);
     private final ConfigurationView configuration = new ConfigurationView(items);
-    private final Transport transport = (recipient, msg, wait, then) -> {};
+    private final Transport transport = (recipient, message, timeout, callback) -> {};
     private final List<String> sent = new ArrayList<>();
     private final List<Consumer<OriginTransport.OriginResponse>> open = new ArrayList<>();
-    private final Map<String, OriginTransport.OriginResponse> says = new HashMap<>();
+    private final Map<String, OriginTransport.OriginResponse> responses = new HashMap<>();
     private final List<OriginDispatcher.Completion> ends = new ArrayList<>();
     private final List<NodeId> peers = new ArrayList<>();
     private boolean fresh = true;
-    private boolean alone;
+    private boolean withoutQuorum;
     private final OriginDispatcher dispatcher = sender(0.2, 60);
 
     private OriginDispatcher sender(final double ratio, final double slack) {
@@ -58,29 +58,29 @@
 
     private OriginDispatcher sender(final double ratio, final double slack, final Role role) {
         final Member self = new Member(NodeId.of("me"), role, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1");
-        final OriginTransport originTransport = (origin, request, gate, then) -> {
-            if (!gate.mayWrite()) {
-                then.accept(
+        final OriginTransport originTransport = (origin, request, permission, callback) -> {
+            if (!permission.mayWrite()) {
+                callback.accept(
                         OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_PERMITTED, "barred"));
                 return () -> {};
             }
             sent.add(origin.instance() + " " + request.path());
-            final OriginTransport.OriginResponse now = says.get(origin.instance());
-            if (now != null) {
-                loop.execute(() -> then.accept(now));
+            final OriginTransport.OriginResponse response = responses.get(origin.instance());
+            if (response != null) {
+                loop.execute(() -> callback.accept(response));
             } else {
-                open.add(then);
+                open.add(callback);
             }
             return () -> {};
         };
-        final OriginTransport plain = new OriginTransport() {
+        final OriginTransport withoutValidation = new OriginTransport() {
             @Override
             public Exchange send(
                     final Origin origin,
                     final OutboundRequest request,
-                    final Permission gate,
-                    final Consumer<OriginResponse> then) {
-                return originTransport.send(origin, request, gate, then);
+                    final Permission permission,
+                    final Consumer<OriginResponse> callback) {
+                return originTransport.send(origin, request, permission, callback);
             }
 
             @Override
@@ -96,25 +96,25 @@
                 journal,
                 () -> true,
                 List::of,
-                (s, g, d) -> d.accept(true));
+                (shard, grace, done) -> done.accept(true));
         return new OriginDispatcher(
                 NodeSettings.builderFor(self).retryLimits(ratio, slack).build(),
                 loop,
                 transport,
-                plain,
+                withoutValidation,
                 configuration,
                 leases,
-                new OriginDispatcher.Surroundings(() -> fresh, () -> alone, () -> peers, () -> 11),
+                new OriginDispatcher.Surroundings(() -> fresh, () -> withoutQuorum, () -> peers, () -> 11),
                 journal);
     }
 
-    private void put(final ItemKind kind, final String name, final long ver, final Object body) {
+    private void put(final ItemKind kind, final String name, final long version, final Object body) {
         items.merge(new ChosenItem(
-                Ballot.ZERO, new Item(new ItemId(kind, name), new Version(ver), Json.write(body), false, "")));
+                Ballot.ZERO, new Item(new ItemId(kind, name), new Version(version), Json.write(body), false, "")));
     }
 
-    private void service(final double ceiling) {
-        put(ItemKind.SERVICE, "s", 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, ceiling, 0, ""));
+    private void service(final double rateLimit) {
+        put(ItemKind.SERVICE, "s", 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, rateLimit, 0, ""));
     }
 
     private void origin(final String name, final int slots) {
@@ -125,46 +125,50 @@
                 new Origin("s", "10.0.0.1", 80, name, ServiceKind.OPEN, 0, 0, false, 1, "z", slots, 0));
     }
 
-    private static OriginTransport.OriginResponse whole() {
+    private static OriginTransport.OriginResponse completeResponse() {
         return new OriginTransport.OriginResponse(
                 OriginTransport.ExchangeResult.COMPLETE, 200, Map.of(), new byte[0], "");
     }
 
-    private OriginRequest order(
-            final String path, final boolean once, final int rank, final int tries, final long span) {
+    private OriginRequest originRequest(
+            final String path,
+            final boolean atMostOnce,
+            final int priority,
+            final int maxAttempts,
+            final long timeoutMs) {
         return new OriginRequest(
                 OriginRequest.NO_SHARD,
                 new OriginTransport.OutboundRequest("s", "GET", path, "id" + path, null, null, null, 0),
-                once,
-                loop.now() + span,
-                rank,
-                tries,
+                atMostOnce,
+                loop.now() + timeoutMs,
+                priority,
+                maxAttempts,
                 false);
     }
 
-    private void send(final OriginDispatcher by, final OriginRequest o) {
-        by.send(o, ends::add);
+    private void send(final OriginDispatcher sender, final OriginRequest request) {
+        sender.send(request, ends::add);
         loop.run(1);
     }
 
     private void send(final String path) {
-        send(dispatcher, order(path, false, 0, 3, 2000));
+        send(dispatcher, originRequest(path, false, 0, 3, 2000));
     }
 
     @Test
-    void whatFindsNoFreeSlotWaitsItsTurnByRank() {
+    void requestsWithoutAFreeSlotWaitByPriority() {
         service(0);
         origin("a", 1);
         send("/1");
         send("/2");
-        assertEquals(List.of("a /1", "a /2"), sent, "one more than its slots");
-        send(dispatcher, order("/low", false, 5, 3, 2000));
-        send(dispatcher, order("/high", false, 1, 3, 2000));
-        send(dispatcher, order("/high2", false, 1, 3, 2000));
+        assertEquals(List.of("a /1", "a /2"), sent, "one more than the origin has slots");
+        send(dispatcher, originRequest("/low", false, 5, 3, 2000));
+        send(dispatcher, originRequest("/high", false, 1, 3, 2000));
+        send(dispatcher, originRequest("/high2", false, 1, 3, 2000));
         assertEquals(2, sent.size());
         assertEquals(5, dispatcher.inFlight());
         for (int i = 0; i < 5; i++) {
-            open.get(i).accept(whole());
+            open.get(i).accept(completeResponse());
             loop.run(1);
         }
         assertEquals(List.of("a /1", "a /2", "a /high", "a /high2", "a /low"), sent);
@@ -173,18 +177,18 @@
     }
 
     @Test
-    void aTurnThatWouldComeTooLateIsRefusedAtOnce() {
+    void requestWhoseTurnWouldComeTooLateIsRejectedAtOnce() {
         service(0);
         origin("a", 1);
         send("/1");
         send("/2");
-        send(dispatcher, order("/soon", false, 0, 3, 100));
-        assertEquals(1, ends.size(), "not held until its cutoff");
+        send(dispatcher, originRequest("/soon", false, 0, 3, 100));
+        assertEquals(1, ends.size(), "not queued until the deadline");
         assertFalse(ends.get(0).mayHaveRun());
         assertEquals(
                 OriginTransport.ExchangeResult.NOT_SENT, ends.get(0).response().result());
         assertTrue(ends.get(0).retryAfterMs() >= 250 && ends.get(0).retryAfterMs() <= 1000);
-        send(dispatcher, order("/later", false, 0, 3, 700));
+        send(dispatcher, originRequest("/later", false, 0, 3, 700));
         assertEquals(1, ends.size());
         loop.run(700);
         assertEquals(
@@ -192,11 +196,11 @@
                 ends.stream()
                         .filter(e -> e.response().reason().equals("every origin is busy"))
                         .count(),
-                "its time to be served has passed");
+                "the remaining time is too short for a response");
     }
 
     @Test
-    void otherShieldsRequestsTakeSlotsToo() {
+    void requestsOfOtherShieldsTakeSlots() {
         service(0);
         origin("a", 1);
         peers.add(NodeId.of("n2"));
@@ -208,24 +212,27 @@
         assertEquals(List.of("a /1"), sent);
     }
 
-    /** A request waits for another origin than the one that has room: the line is not turned round and round. */
+    /**
+     * A queued request that waits for another origin than the one with a free slot must not keep the dispatcher
+     * looping over the queue.
+     */
     @Test
-    void roomAtAnOriginThatWasTriedAlreadyDoesNotTurnTheLineForEver() {
+    void freeSlotAtAnOriginAlreadyTriedCausesNoEndlessLoop() {
         service(0);
         origin("a", 2);
         origin("b", 2);
-        says.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         dispatcher.onLoadReport(NodeId.of("n2"), new LoadReport(Map.of("b", 4)));
         for (int i = 0; i < 10; i++) {
-            says.put("a", whole());
+            responses.put("a", completeResponse());
             send("/earn" + i);
         }
         ends.clear();
-        says.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> send("/1"));
         assertEquals("a /1", sent.get(sent.size() - 1));
-        assertEquals(0, ends.size(), "it waits for the other");
-        says.put("b", whole());
+        assertEquals(0, ends.size(), "the request waits for the other origin");
+        responses.put("b", completeResponse());
         assertTimeoutPreemptively(
                 Duration.ofSeconds(10), () -> dispatcher.onLoadReport(NodeId.of("n2"), new LoadReport(Map.of())));
         loop.run(1);
@@ -235,43 +242,48 @@
     }
 
     @Test
-    void anOriginThatCannotBeReachedIsNoExtraTry() {
+    void unreachableOriginDoesNotCountAsARetry() {
         service(0);
         for (final String n : List.of("a", "b", "c")) {
             origin(n, 4);
-            says.put(n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
+            responses.put(
+                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
         }
         origin("d", 4);
-        says.put("d", whole());
-        send(sender(0, 0), order("/1", true, 0, 1, 2000));
+        responses.put("d", completeResponse());
+        send(sender(0, 0), originRequest("/1", true, 0, 1, 2000));
         loop.run(10);
         assertEquals(4, sent.size());
         assertEquals(
                 OriginTransport.ExchangeResult.COMPLETE, ends.get(0).response().result());
     }
 
-    /** The budget goes by requests, so what one request earns does not rise with the origins that cannot be reached. */
+    /**
+     * The retry budget grows with requests: a request adds to it once, however many unreachable origins it was offered
+     * to.
+     */
     @Test
-    void aRequestEarnsItsPartOfATryOnce() {
+    void requestAddsToTheRetryBudgetOnce() {
         service(0);
         for (final String n : List.of("a", "b", "c", "d", "e")) {
             origin(n, 4);
-            says.put(n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
+            responses.put(
+                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
         }
         origin("f", 4);
-        says.put("f", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("f", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         origin("g", 4);
-        says.put("g", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
-        send(sender(0.2, 4000), order("/1", false, 0, 3, 2000));
+        responses.put("g", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        send(sender(0.2, 4000), originRequest("/1", false, 0, 3, 2000));
         loop.run(10);
-        assertEquals(6, sent.size(), "no extra try was earned by one request: " + sent);
+        assertEquals(6, sent.size(), "one request must not add a full retry to the budget: " + sent);
         assertEquals(
                 OriginTransport.ExchangeResult.NOT_EXECUTED,
                 ends.get(0).response().result());
     }
 
     @Test
-    void whatMayRunOnceIsNeverSentAgainOnceItMayHaveRun() {
+    void atMostOnceRequestIsNotSentAgainOnceItMayHaveRun() {
         service(0);
         origin("a", 4);
         origin("b", 4);
@@ -279,9 +291,9 @@
                 List.of(OriginTransport.ExchangeResult.LOST, OriginTransport.ExchangeResult.INVALID)) {
             sent.clear();
             ends.clear();
-            says.put("a", OriginTransport.OriginResponse.without(end, "lost"));
-            says.put("b", OriginTransport.OriginResponse.without(end, "lost"));
-            send(sender(100, 100_000), order("/1", true, 0, 5, 2000));
+            responses.put("a", OriginTransport.OriginResponse.without(end, "lost"));
+            responses.put("b", OriginTransport.OriginResponse.without(end, "lost"));
+            send(sender(100, 100_000), originRequest("/1", true, 0, 5, 2000));
             loop.run(2100);
             assertEquals(1, sent.size(), end.name());
             assertTrue(ends.get(0).mayHaveRun());
@@ -289,52 +301,53 @@
     }
 
     @Test
-    void silenceIsNoReasonToSendItAgainEither() {
+    void slowAtMostOnceRequestIsNotHedged() {
         service(0);
         origin("a", 4);
         origin("b", 4);
-        send(sender(100, 100_000), order("/1", true, 0, 5, 9000));
+        send(sender(100, 100_000), originRequest("/1", true, 0, 5, 9000));
         loop.run(8000);
         assertEquals(1, sent.size());
-        assertEquals(0, ends.size(), "and the answer is waited for");
+        assertEquals(0, ends.size(), "the dispatcher still waits for the response");
         sent.clear();
-        send(sender(100, 100_000), order("/2", false, 0, 5, 9000));
+        send(sender(100, 100_000), originRequest("/2", false, 0, 5, 9000));
         loop.run(8000);
-        assertEquals(2, sent.size(), "a read is tried elsewhere, as far as there are origins");
+        assertEquals(2, sent.size(), "a read is hedged to the other origin");
     }
 
     @Test
-    void oneThatTurnedItAwayHasNotRunItAndTheNextIsAskedWithinTriesAndBudget() {
+    void requestNotExecutedByAnOriginIsRetriedWithinAttemptsAndBudget() {
         service(0);
         for (final String n : List.of("a", "b", "c")) {
             origin(n, 4);
-            says.put(n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+            responses.put(
+                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         }
-        send(sender(100, 100_000), order("/1", true, 0, 2, 2000));
+        send(sender(100, 100_000), originRequest("/1", true, 0, 2, 2000));
         loop.run(10);
-        assertEquals(2, sent.size(), "as many as its route allows");
+        assertEquals(2, sent.size(), "as many as the route allows");
         assertFalse(ends.get(0).mayHaveRun());
         sent.clear();
-        send(sender(0, 0), order("/2", true, 0, 3, 2000));
+        send(sender(0, 0), originRequest("/2", true, 0, 3, 2000));
         loop.run(10);
-        assertEquals(1, sent.size(), "no budget, no second origin");
+        assertEquals(1, sent.size(), "without a retry budget no second origin is tried");
     }
 
     @Test
-    void anAddressThatAnotherHasTakenIsAskedOnce() {
+    void originWhoseAddressWasTakenOverIsTriedOnce() {
         service(0);
         origin("a", 4);
         origin("b", 4);
-        says.put(
+        responses.put(
                 "a",
                 OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.WRONG_INSTANCE, "status 421"));
-        says.put("b", whole());
-        final OriginDispatcher by = sender(100, 100_000);
+        responses.put("b", completeResponse());
+        final OriginDispatcher sender = sender(100, 100_000);
         for (int i = 0; i < 10; i++) {
-            send(by, order("/" + i, true, 0, 3, 2000));
+            send(sender, originRequest("/" + i, true, 0, 3, 2000));
             loop.run(3000);
         }
-        assertEquals(1, sent.stream().filter(t -> t.startsWith("a ")).count(), sent.toString());
+        assertEquals(1, sent.stream().filter(line -> line.startsWith("a ")).count(), sent.toString());
         assertEquals(
                 10,
                 ends.stream()
@@ -342,40 +355,40 @@
                         .count());
     }
 
-    /** The budget is the shields' to spend: edges are many, and none knows what the others do. */
+    /** Only shields have a retry budget: there are many edges, and none of them knows what the others send. */
     @Test
-    void anEdgeThatSendsItselfMakesNoExtraTry() {
+    void edgeThatSendsDirectlyMakesNoRetry() {
         service(0);
         for (int i = 0; i < 40; i++) {
             origin("o" + i, 4);
-            says.put(
+            responses.put(
                     "o" + i,
                     OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         }
-        send(sender(100, 60, Role.EDGE), order("/1", false, 0, 40, 9000));
+        send(sender(100, 60, Role.EDGE), originRequest("/1", false, 0, 40, 9000));
         loop.run(100);
         assertEquals(1, sent.size());
         sent.clear();
-        send(sender(100, 60), order("/2", false, 0, 40, 9000));
+        send(sender(100, 60), originRequest("/2", false, 0, 40, 9000));
         loop.run(100);
-        assertEquals(1 + 6, sent.size(), "a shield: 0.4 of 60 over four at least");
+        assertEquals(1 + 6, sent.size(), "a shield: 0.4 of 60, divided by at least four shields");
     }
 
     @Test
-    void withoutAFrameNothingLeavesUnlessNobodyCanBeHeard() {
+    void withoutAFreshViewNothingIsSentUnlessTheNodeIsIsolated() {
         service(0);
         origin("a", 4);
         fresh = false;
         send("/1");
         assertEquals(List.of(), sent);
         assertFalse(ends.get(0).mayHaveRun());
-        alone = true;
+        withoutQuorum = true;
         send("/2");
         assertEquals(List.of("a /2"), sent);
     }
 
     @Test
-    void aLeavingOriginGetsNothingMoreAndADroppedServiceNeither() {
+    void drainingOriginsAndRemovedServicesGetNoRequests() {
         service(0);
         origin("a", 4);
         put(ItemKind.ORIGIN, "a", 2, new Origin("s", "10.0.0.1", 80, "a", ServiceKind.OPEN, 0, 0, true, 2, "z", 4, 0));
@@ -392,12 +405,12 @@
     }
 
     @Test
-    void whatPassesNoHolderHasATenthOfTheCeiling() {
+    void passedThroughRequestsGetATenthOfTheRateLimit() {
         service(100);
         origin("a", 0);
-        says.put("a", whole());
+        responses.put("a", completeResponse());
         for (int i = 0; i < 200; i++) {
-            dispatcher.send(order("/" + i, false, 0, 3, 2000), ends::add);
+            dispatcher.send(originRequest("/" + i, false, 0, 3, 2000), ends::add);
             loop.run(50);
         }
         assertTrue(sent.size() >= 90 && sent.size() <= 101, "10 a second for 10 s, not " + sent.size());
--- a/data/src/test/java/org/rowanvalve/data/origin/UnconfirmedRequestTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/UnconfirmedRequestTest.java
@@ -6,57 +6,57 @@
 
 import org.junit.jupiter.api.Test;
 
-/** After a pause of the process: a request whose caller has not said yet whether it still waits. */
+/** Requests whose callers have not yet confirmed, after a pause of the process, that they still wait. */
 class UnconfirmedRequestTest extends CancellationFixture {
-    private Order suspendedInTheQueue() {
+    private PendingRequest suspendedInTheQueue() {
         service(0);
         origin("a", 1);
-        new Order("/1");
-        new Order("/2");
-        final Order order = new Order("/suspended");
-        order.cancellation.suspend();
+        new PendingRequest("/1");
+        new PendingRequest("/2");
+        final PendingRequest pending = new PendingRequest("/suspended");
+        pending.cancellation.suspend();
         sent.get(0).answer(new OriginTransport.Load(1, 0, 1));
         loop.run(5);
-        assertEquals(2, sent.size(), "its turn has come, but its caller has not said that it still waits");
-        return order;
+        assertEquals(2, sent.size(), "the turn has come, but the caller has not confirmed that it still waits");
+        return pending;
     }
 
     @Test
-    void oneThatIsUnconfirmedIsSentOnceItsCallerSaysThatItStillWaits() {
-        final Order order = suspendedInTheQueue();
-        order.cancellation.confirm();
+    void unconfirmedRequestIsSentOnceItsCallerConfirmsIt() {
+        final PendingRequest pending = suspendedInTheQueue();
+        pending.cancellation.confirm();
         loop.run(5);
         assertEquals("/suspended", sent.get(2).path);
-        assertEquals(0, order.attempts.unused());
+        assertEquals(0, pending.attempts.unused());
     }
 
     @Test
-    void oneThatIsUnconfirmedIsNotSentOnceItsCallerSaysThatItHasLeft() {
-        final Order order = suspendedInTheQueue();
+    void unconfirmedRequestIsNotSentOnceItsCallerCancelsIt() {
+        final PendingRequest pending = suspendedInTheQueue();
         ends.clear();
-        order.cancel();
+        pending.cancel();
         loop.run(5);
-        assertEndedUnsent(order);
+        assertEndedUnsent(pending);
         assertEquals(2, sent.size());
     }
 
     @Test
-    void oneThatIsUnconfirmedEndsAtItsDeadline() {
-        final Order order = suspendedInTheQueue();
+    void unconfirmedRequestEndsAtItsDeadline() {
+        final PendingRequest pending = suspendedInTheQueue();
         ends.clear();
         loop.run(3100);
-        assertEndedUnsent(order);
+        assertEndedUnsent(pending);
         assertEquals(2, sent.size());
     }
 
     @Test
-    void oneThatIsUnconfirmedWhileItsConnectionIsBeingOpenedIsSentOnceItIsConfirmed() {
+    void requestUnconfirmedWhileConnectingIsSentOnceItIsConfirmed() {
         service(0);
         origin("a", 4);
         slowConnections = true;
-        final Order order = new Order("/1");
-        order.cancellation.suspend();
-        assertFalse(connecting.get(0).permission.mayWrite(), "asked at the last moment");
+        final PendingRequest pending = new PendingRequest("/1");
+        pending.cancellation.suspend();
+        assertFalse(connecting.get(0).permission.mayWrite(), "checked right before writing");
         connecting
                 .get(0)
                 .callback
@@ -65,9 +65,9 @@
         loop.run(5);
         assertEquals(1, connecting.size());
         assertEquals(0, ends.size());
-        order.cancellation.confirm();
+        pending.cancellation.confirm();
         loop.run(5);
-        assertEquals(2, connecting.size(), "its only origin is not lost to it");
+        assertEquals(2, connecting.size(), "the only origin is tried again");
         assertTrue(connecting.get(1).permission.mayWrite());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/origin/WaitQueueTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/WaitQueueTest.java
@@ -10,49 +10,49 @@
 import org.junit.jupiter.api.Test;
 
 class WaitQueueTest {
-    private final WaitQueue line = new WaitQueue();
+    private final WaitQueue queue = new WaitQueue();
 
     @Test
-    void theHigherRankThenTheEarlier() {
-        final List<String> gone = new ArrayList<>();
-        line.add("s", 2, () -> true, () -> gone.add("late"));
-        line.add("s", 0, () -> true, () -> gone.add("first"));
-        line.add("s", 1, () -> true, () -> gone.add("then"));
-        line.add("s", 0, () -> true, () -> gone.add("second"));
-        line.add("t", 0, () -> true, () -> gone.add("other service"));
-        assertEquals(2, line.countAhead("s", 0));
-        assertEquals(3, line.countAhead("s", 1));
-        assertEquals(0, line.countAhead("u", 5));
-        for (WaitQueue.Place deployment = line.next("s"); deployment != null; deployment = line.next("s")) {
-            deployment.action().run();
+    void requestsLeaveByPriorityThenByArrival() {
+        final List<String> left = new ArrayList<>();
+        queue.add("s", 2, () -> true, () -> left.add("late"));
+        queue.add("s", 0, () -> true, () -> left.add("first"));
+        queue.add("s", 1, () -> true, () -> left.add("then"));
+        queue.add("s", 0, () -> true, () -> left.add("second"));
+        queue.add("t", 0, () -> true, () -> left.add("other service"));
+        assertEquals(2, queue.countAhead("s", 0));
+        assertEquals(3, queue.countAhead("s", 1));
+        assertEquals(0, queue.countAhead("u", 5));
+        for (WaitQueue.Place place = queue.next("s"); place != null; place = queue.next("s")) {
+            place.action().run();
         }
-        assertEquals(List.of("first", "second", "then", "late"), gone);
-        assertNull(line.next("s"));
-        assertEquals(1, line.size());
+        assertEquals(List.of("first", "second", "then", "late"), left);
+        assertNull(queue.next("s"));
+        assertEquals(1, queue.size());
     }
 
     @Test
-    void whoCannotGoNowKeepsItsPlaceAndHoldsNobodyUp() {
-        final boolean[] room = {false};
-        final WaitQueue.Place first = line.add("s", 0, () -> room[0], () -> {});
-        final WaitQueue.Place second = line.add("s", 0, () -> true, () -> {});
-        assertEquals(second, line.next("s"));
-        line.add("s", 0, () -> true, () -> {});
-        room[0] = true;
-        assertEquals(first, line.next("s"));
-        assertNull(line.next("t"));
+    void requestThatCannotLeaveKeepsItsPlaceAndBlocksNoOther() {
+        final boolean[] canLeave = {false};
+        final WaitQueue.Place first = queue.add("s", 0, () -> canLeave[0], () -> {});
+        final WaitQueue.Place second = queue.add("s", 0, () -> true, () -> {});
+        assertEquals(second, queue.next("s"));
+        queue.add("s", 0, () -> true, () -> {});
+        canLeave[0] = true;
+        assertEquals(first, queue.next("s"));
+        assertNull(queue.next("t"));
     }
 
     @Test
-    void whoLeavesIsDroppedOnceAndALineHasAnEnd() {
-        final WaitQueue.Place deployment = line.add("s", 0, () -> true, () -> {});
-        assertTrue(line.remove("s", deployment));
-        assertFalse(line.remove("s", deployment));
-        assertFalse(line.remove("t", deployment));
+    void requestIsRemovedOnceAndTheCapacityIsLimited() {
+        final WaitQueue.Place place = queue.add("s", 0, () -> true, () -> {});
+        assertTrue(queue.remove("s", place));
+        assertFalse(queue.remove("s", place));
+        assertFalse(queue.remove("t", place));
         for (int i = 0; i < 256; i++) {
-            assertFalse(line.isFull("s"));
-            line.add("s", 0, () -> true, () -> {});
+            assertFalse(queue.isFull("s"));
+            queue.add("s", 0, () -> true, () -> {});
         }
-        assertTrue(line.isFull("s"));
+        assertTrue(queue.isFull("s"));
     }
 }
