--- a/data/src/main/java/org/rowanvalve/data/edge/CoalescedFill.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/CoalescedFill.java
@@ -5,11 +5,12 @@
 import org.rowanvalve.common.model.VersionVector;
 
 /**
- * One request to the lease holder for all who ask for an object under the same versions; the first of them leads it: it
- * sends the request. It goes on while one of them waits.
+ * Coalesces the client requests for one object under the same versions into a single request to the lease holder. The
+ * first client request is the leader, which sends the request to the lease holder. The fill continues as long as at least
+ * one client still waits for it.
  */
 final class CoalescedFill {
-    /** Requests that may wait for one object. */
+    /** Maximum number of client requests that wait for one object. */
     static final int MAX_WAITERS = 512;
 
     private final EdgeRequest leader;
@@ -26,7 +27,7 @@
         return versions;
     }
 
-    /** The version of the route that it goes by. */
+    /** The version of the route under which the leader was accepted. */
     long routeVersion() {
         return leader.routeVersion();
     }
@@ -35,15 +36,15 @@
         versions = current;
     }
 
-    boolean isFull(final int more) {
-        return waiters.size() + more > MAX_WAITERS;
+    boolean isFull(final int additional) {
+        return waiters.size() + additional > MAX_WAITERS;
     }
 
     void join(final EdgeRequest request) {
         waiters.add(request);
     }
 
-    /** All who wait for this fill wait for the other one instead. */
+    /** Moves all waiting requests of this fill to {@code other}. */
     void moveWaitersTo(final CoalescedFill other) {
         waiters.forEach(waiter -> waiter.waitFor(other));
         waiters.clear();
@@ -57,12 +58,12 @@
         return List.copyOf(waiters);
     }
 
-    /** Whether none of those who asked waits any more. */
+    /** Whether the clients of all waiting requests have disconnected. */
     boolean isAbandoned() {
         return waiters.stream().allMatch(EdgeRequest::hasLeft);
     }
 
-    /** One of those who wait has left. */
+    /** Called when the client of one waiting request has disconnected. */
     void onWaiterLeft() {
         if (isAbandoned()) {
             leader.abandon();
--- a/data/src/main/java/org/rowanvalve/data/edge/DirectForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/DirectForwarding.java
@@ -13,8 +13,8 @@
 import org.rowanvalve.data.request.EndToEndHeaders;
 
 /**
- * Sends a request to origins from its edge, within the part of the rate limit that is meant for this: for when no shield is
- * heard from.
+ * Sends a request from the edge directly to origins if no shield is reachable. These requests are limited to the part of
+ * the rate limit that is reserved for direct forwarding.
  */
 final class DirectForwarding {
     private final Edge edge;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Nobody waits for the response any more. */
+    /** Cancels the request, because its response is no longer needed. */
     void cancel(final CancelCause cause) {
         cancellation.request(cause);
     }
@@ -77,7 +77,7 @@
                         : OriginRequest.WhenCancelled.FINISH_SENT);
     }
 
-    /** An origin's response as a shield would give it. */
+    /** Converts an origin's response to the form in which a shield returns it. */
     static ForwardResponse completed(final OriginTransport.OriginResponse response) {
         return new ForwardResponse(
                 RequestOutcome.DONE,
--- a/data/src/main/java/org/rowanvalve/data/edge/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -23,9 +23,11 @@
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.data.request.ClientResponse;
 
-/** The edge: runs the steps compiled for a request's route, one by one until one answers. */
+/** Serves client requests: runs the steps of the request's route in order until one of them answers the request. */
 public final class Edge {
+    /** Maximum number of requests that are open at the same time. */
     private static final int MAX_REQUESTS = 2048;
+
     private final EventLoop loop;
     private final Transport transport;
     private final ConfigurationView configuration;
@@ -43,7 +45,10 @@
     private boolean closed;
     private long lastRequestAt = Long.MIN_VALUE / 2;
 
-    /** {@code incarnation}: this start of this process, by which shields know its requests. */
+    /**
+     * @param incarnation identifies this run of the process; shields use it to tell the requests of this run from those of
+     *     earlier runs
+     */
     public Edge(
             final EventLoop loop,
             final Transport transport,
@@ -62,7 +67,7 @@
         this.viewFresh = viewFresh;
         this.shards = shards;
         this.journal = journal;
-        this.cache = new Cache(cacheBytes, c -> configuration.areTagsCurrent(c.tagVersions()));
+        this.cache = new Cache(cacheBytes, copy -> configuration.areTagsCurrent(copy.tagVersions()));
     }
 
     enum Step {
@@ -77,23 +82,23 @@
     }
 
     static List<Step> stepsOf(final ConfiguredRoute route) {
-        final List<Step> list = new ArrayList<>(List.of(Step.METHOD, Step.SIZE));
+        final List<Step> steps = new ArrayList<>(List.of(Step.METHOD, Step.SIZE));
         if (route.condition().isPresent()) {
-            list.add(Step.CONDITION);
+            steps.add(Step.CONDITION);
         }
         if (route.route().purgeable()) {
-            list.add(Step.VIEW);
+            steps.add(Step.VIEW);
         }
         if (route.route().hasMode(RouteMode.CACHED)) {
-            list.addAll(List.of(Step.LOOK_UP, Step.COALESCE));
+            steps.addAll(List.of(Step.LOOK_UP, Step.COALESCE));
         } else if (route.route().hasMode(RouteMode.KEYED)) {
-            list.add(Step.KEY);
+            steps.add(Step.KEY);
         }
-        list.add(Step.FORWARD);
-        return list;
+        steps.add(Step.FORWARD);
+        return steps;
     }
 
-    /** The limits of what clients may send now. */
+    /** The current limits of client requests. */
     public RequestLimits limits() {
         return configuration.limits();
     }
@@ -102,22 +107,22 @@
         closed = true;
     }
 
-    /** Requests that have not been answered yet. */
+    /** The number of requests that have not been answered yet. */
     public int openRequests() {
         return openRequests;
     }
 
-    /** Whether there are routes to serve and a shield to forward to. */
+    /** Whether this edge is open, has routes to serve and has a shield to forward to. */
     public boolean isAble() {
         return !closed && configuration.hasRoutes() && !routing.nearestShields().isEmpty();
     }
 
-    /** Whether no request has come for a while, in ms. */
+    /** Whether no request has arrived in the last {@code ms} milliseconds. */
     public boolean isQuiet(final long ms) {
         return loop.now() - lastRequestAt >= ms;
     }
 
-    /** Answers one request that nobody cancels. */
+    /** Answers one request that cannot be cancelled. */
     public void handle(final ClientRequest request, final Consumer<ClientResponse> callback) {
         handle(request, Cancellation.NEVER, callback);
     }
@@ -159,7 +164,7 @@
         return loop;
     }
 
-    Transport net() {
+    Transport transport() {
         return transport;
     }
 
@@ -179,34 +184,40 @@
         return journal;
     }
 
-    /** The serial by which the shield may ask for further attempts until it has answered. */
+    /**
+     * Registers a forward and returns its serial. Until the shield has responded, the shield can request further attempts
+     * under this serial.
+     */
     long openForward(final Forward forward) {
         final long serial = nextSerial();
         forwards.put(serial, forward);
         return serial;
     }
 
-    void closeForward(final long forward) {
-        forwards.remove(forward);
+    void closeForward(final long serial) {
+        forwards.remove(serial);
     }
 
     String incarnation() {
         return incarnation;
     }
 
-    /** Nobody waits for this shield's response any more; a shield of an earlier release is not told. */
+    /**
+     * Tells a shield that its response is no longer needed. Shields of an earlier release, which do not support this message,
+     * are not notified.
+     */
     void sendCancel(final NodeId shield, final long serial, final CancelCause cause) {
         if (routing.takesCancels(shield)) {
             transport.send(shield, new CancelRequest(incarnation, serial, cause));
         }
     }
 
-    /** How many more origins a shield may send the request of this serial to. */
-    public int grantAttempts(final NodeId from, final long forward) {
-        return forwards.containsKey(forward) ? forwards.get(forward).grantMore(from) : 0;
+    /** Returns to how many more origins the shield may send the request with this serial. */
+    public int grantAttempts(final NodeId shield, final long serial) {
+        return forwards.containsKey(serial) ? forwards.get(serial).grantMore(shield) : 0;
     }
 
-    /** The serials, of those asked for, whose responses somebody here still waits for. */
+    /** Returns those of the queried serials whose responses a client of this edge still waits for. */
     public List<Long> openForwards(final OpenForwardsRequest request) {
         if (!incarnation.equals(request.incarnation())) {
             return List.of();
@@ -238,6 +249,6 @@
     }
 
     void recordToken(final int shard, final FencingToken token) {
-        highestToken.merge(shard, token, (response, b) -> response.isBelow(b) ? b : response);
+        highestToken.merge(shard, token, (known, update) -> known.isBelow(update) ? update : known);
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -24,7 +24,8 @@
 import org.rowanvalve.data.routing.ShardRouting;
 
 /**
- * One request at an edge: runs the steps of its route one by one until one answers, and joins fills of other requests.
+ * One client request at an edge. Runs the steps of its route in order until one of them answers the request. A request for
+ * a cacheable object joins a fill that another request has started, or starts one.
  */
 final class EdgeRequest {
     static final String CLIENT_HAS_LEFT = "the client has left";
@@ -42,9 +43,9 @@
     private final long routeVersion;
     private final String service;
     private VersionVector versions;
-    /** The fill that this request began, and sends to shields for all who joined it. */
+    /** The fill that this request started and forwards to shields for all requests that joined it. */
     private CoalescedFill ledFill;
-    /** The fill that it waits for. */
+    /** The fill that this request waits for. */
     private CoalescedFill joinedFill;
 
     private boolean finished;
@@ -70,7 +71,7 @@
                 .item(new ItemId(ItemKind.ROUTE, route.name()))
                 .version()
                 .number();
-        this.service = route.route().pickService(Hash.hash64(nameForSplit()));
+        this.service = route.route().pickService(Hash.hash64(splitKey()));
         final boolean deadlineStated = request.timeoutMs() > 0;
         this.marginMs = deadlineStated ? 20 : 300;
         this.startedAt = now();
@@ -85,19 +86,19 @@
         return edge.loop().now();
     }
 
-    /** What decides between the services of a split route. */
-    private String nameForSplit() {
+    /** The string whose hash selects the service of a route that splits its traffic. */
+    private String splitKey() {
         return request.requestId() == null || request.requestId().isEmpty()
                 ? request.path() + edge.nextSerial()
                 : request.requestId();
     }
 
-    /** The version of the route that it goes by. */
+    /** The version of the route under which this request was accepted. */
     long routeVersion() {
         return routeVersion;
     }
 
-    /** The service that the route gives it to. */
+    /** The service to which the route assigns this request. */
     String service() {
         return service;
     }
@@ -126,7 +127,7 @@
         return deadline;
     }
 
-    /** Time reserved for the way back to the client. */
+    /** Time reserved for returning the response to the client, in ms. */
     long marginMs() {
         return marginMs;
     }
@@ -135,7 +136,7 @@
         return route.route().hasMode(mode);
     }
 
-    /** Whether it may be sent to origins at most once. */
+    /** Whether this request may be executed by origins at most once. */
     boolean isAtMostOnce() {
         return hasMode(RouteMode.KEYED) || hasMode(RouteMode.AT_MOST_ONCE);
     }
@@ -167,7 +168,12 @@
         }
     }
 
-    /** {@code durationName}, {@code durationMs}: how long until then, as the event's table names it. */
+    /**
+     * Adds an event about this request to the journal.
+     *
+     * @param durationName the event's key for the duration
+     * @param durationMs the time that elapsed before the event
+     */
     private void journal(final EventCode code, final String place, final String durationName, final long durationMs) {
         edge.journal()
                 .add(Event.of(
@@ -190,14 +196,18 @@
         return cancellation.poll() == Cancellation.Standing.CANCELLED;
     }
 
-    /** Whether nobody waits for what this request sends. Looked up at the clients' connections. */
+    /**
+     * Whether no client waits for the response to this request any more, nor for the fill that it leads. Polls the clients'
+     * connections.
+     */
     boolean isAbandoned() {
         return ledFill == null ? hasLeft() : ledFill.isAbandoned();
     }
 
     /**
-     * Nobody waits any more: what is under way is cancelled. One that may run once and that a shield has ends with what the
-     * shield says of it, since only the shield knows whether it was sent.
+     * Cancels the forwards in progress, because no client waits for the response any more. An at-most-once request that a
+     * shield has received ends with the outcome that the shield reports, since only the shield knows whether the request was
+     * sent to an origin.
      */
     void abandon() {
         forwarding.cancelOpenForwards(CancelCause.CLIENT_LEFT);
@@ -227,12 +237,12 @@
     }
 
     private boolean runStep(final Edge.Step step) {
-        final boolean post = hasMode(RouteMode.KEYED);
+        final boolean isKeyed = hasMode(RouteMode.KEYED);
         return switch (step) {
             case METHOD ->
                 !route.route().anyShield()
-                        && !request.method().equals(post ? "POST" : "GET")
-                        && reject(405, "this route takes " + (post ? "POST" : "GET"), 0);
+                        && !request.method().equals(isKeyed ? "POST" : "GET")
+                        && reject(405, "this route takes " + (isKeyed ? "POST" : "GET"), 0);
             case SIZE ->
                 request.body() != null
                         && request.body().length > route.service().bodyLimit()
@@ -254,8 +264,9 @@
     }
 
     /**
-     * A request that needs no lease is forwarded even where nothing newer can be known; copies that may have been
-     * purged are not served.
+     * Handles a request while the configuration view is not confirmed. A request that needs no lease is forwarded if the node
+     * has no quorum and therefore cannot learn of a newer configuration. Cached copies are not served, since they may have
+     * been purged.
      */
     private boolean onStaleView() {
         if (route.route().anyShield()
@@ -285,8 +296,8 @@
 
     private boolean answerFromCache() {
         final Optional<CachedResponse> copy =
-                edge.cache().findFresh(cacheKey, now(), versions).filter(x -> x.isFrom(route.route()));
-        copy.ifPresent(x -> respondFrom(x, "hit"));
+                edge.cache().findFresh(cacheKey, now(), versions).filter(cached -> cached.isFrom(route.route()));
+        copy.ifPresent(cached -> respondFrom(cached, "hit"));
         return copy.isPresent();
     }
 
@@ -299,8 +310,8 @@
     }
 
     /**
-     * A fill serves whoever asks under its versions or older ones; a newer version of a purge or of the route starts the
-     * next fill.
+     * Joins the current fill of the object, or starts one. A fill serves requests under its own versions or older ones; a
+     * request under a newer version of a purge or of the route starts a new fill.
      */
     private boolean joinFill() {
         final CoalescedFill current = edge.fills().get(cacheKey);
@@ -322,7 +333,7 @@
         return ledFill == null ? List.of(this) : ledFill.waiters();
     }
 
-    /** Superseded by a newer fill: all who waited for this one wait for that. */
+    /** Moves all waiting requests to a newer fill of the object, if one has superseded the fill of this request. */
     boolean handOver() {
         final CoalescedFill current = edge.fills().get(cacheKey);
         if (ledFill == null
@@ -336,7 +347,10 @@
         return true;
     }
 
-    /** Sent again under the present versions; the versions of the fill go with it. */
+    /**
+     * Updates this request to the current versions before it is sent to the lease holder, and its fill along with it if the
+     * fill is still the current one.
+     */
     void renewVersions() {
         versions = edge.view().versionsOf(route, request.path());
         if (ledFill != null && edge.fills().get(cacheKey) == ledFill) {
@@ -344,7 +358,10 @@
         }
     }
 
-    /** An origin's response for all who wait; false where it was purged meanwhile and answers nobody. */
+    /**
+     * Delivers an origin's response to all waiting requests. Returns false, without answering any of them, if the object was
+     * purged in the meantime.
+     */
     boolean onFilled(final long sentAt, final ForwardResponse filled) {
         if (!hasMode(RouteMode.CACHED) || filled.versions() == null) {
             final ClientResponse response =
@@ -366,18 +383,24 @@
                 CachedResponse.tagVersions(filled.versions()),
                 filled.service());
         final ConfiguredRoute current = edge.view().routeNamed(route.name()).orElse(null);
-        final VersionVector wanted = current == null ? null : edge.view().versionsOf(current, request.path());
-        if (wanted == null || !filled.versions().covers(wanted) || !edge.view().areTagsCurrent(copy.tagVersions())) {
+        final VersionVector currentVersions =
+                current == null ? null : edge.view().versionsOf(current, request.path());
+        if (currentVersions == null
+                || !filled.versions().covers(currentVersions)
+                || !edge.view().areTagsCurrent(copy.tagVersions())) {
             return false;
         }
-        if (filled.status() == 200 && copy.isFresh(now(), wanted)) {
+        if (filled.status() == 200 && copy.isFresh(now(), currentVersions)) {
             edge.cache().put(cacheKey, copy);
         }
         takeWaiters().forEach(waiter -> waiter.respondFrom(copy, "miss"));
         return true;
     }
 
-    /** When no fill is possible, a copy just past its lifetime is served, as long as the view is confirmed. */
+    /**
+     * The copy to serve if the object cannot be filled: a copy that expired recently. On a purgeable route the copy is served
+     * only while the view is confirmed.
+     */
     private CachedResponse staleCopy() {
         return hasMode(RouteMode.CACHED)
                         && (edge.isViewFresh() || !route.route().purgeable())
@@ -388,8 +411,10 @@
     }
 
     /**
-     * {@code mayHaveRun}: an earlier attempt may have reached an origin, so no rejection may claim that it was not
-     * executed.
+     * Answers all waiting requests.
+     *
+     * @param mayHaveRun whether an earlier attempt may have reached an origin; a rejection of an at-most-once request must
+     *     then not claim that the request was not executed
      */
     void finishAll(final ClientResponse response, final boolean mayHaveRun) {
         final ClientResponse finalResponse = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
@@ -4,30 +4,32 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.data.origin.OriginDispatcher;
 
-/** Where an edge can forward what it does not answer itself. */
+/** The shields and origins to which an edge can forward requests that it does not answer itself. */
 public interface EdgeRouting {
-    /** Shields that are heard from, the nearest first. */
+    /** The reachable shields, nearest first. */
     List<NodeId> nearestShields();
 
-    /** Whether this shield was heard from of late. */
+    /** Whether a message from this shield arrived recently. */
     boolean isHeard(NodeId id);
 
-    /** How long nothing has been heard from this shield, in ms. */
+    /** The time since the last message from this shield, in ms. */
     long silenceMs(NodeId id);
 
-    /** Whether this shield takes requests back. */
+    /** Whether this shield supports the cancellation of forwarded requests. */
     boolean takesCancels(NodeId id);
 
-    /** How many regions objects are filled for, and which of them this edge is in. */
+    /** The number of regions for which objects are filled separately. */
     int regionCount();
 
+    /** The index of the region of this edge. */
     int region();
 
-    /** Dispatches to origins when no shield is heard from; null where there is no such way. */
+    /** Dispatches requests to origins if no shield is reachable; null if this edge must not send to origins. */
     OriginDispatcher directDispatcher();
 
     /**
-     * No majority of voters is heard from: nothing newer can be known, so requests that need no lease are forwarded.
+     * Whether messages arrive from less than a majority of the voters. The edge then cannot learn of a newer configuration,
+     * and forwards requests that need no lease under the configuration it knows.
      */
     boolean isWithoutQuorum();
 }
--- a/data/src/main/java/org/rowanvalve/data/edge/Forward.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Forward.java
@@ -4,7 +4,7 @@
 import org.rowanvalve.common.message.Reply;
 import org.rowanvalve.common.model.NodeId;
 
-/** One shield that was asked, and the attempts that are reserved for it. */
+/** A request forwarded to one shield, and the attempts that are reserved for that shield. */
 final class Forward {
     private final EdgeRequest request;
     private final RequestAttempts attempts;
@@ -22,14 +22,14 @@
         return reserved;
     }
 
-    /** Whether somebody still waits for the shield's response. */
+    /** Whether a client still waits for the shield's response. */
     boolean isWanted() {
         return !request.finished() && !request.isAbandoned();
     }
 
-    /** The shield wants to try one more origin. */
-    int grantMore(final NodeId from) {
-        if (request.finished() || !from.equals(shield)) {
+    /** Reserves one more attempt for the shield. Returns 0 if none is left or the request is not from this shield. */
+    int grantMore(final NodeId requester) {
+        if (request.finished() || !requester.equals(shield)) {
             return 0;
         }
         final int added = attempts.reserve();
@@ -37,13 +37,13 @@
         return added;
     }
 
-    /** Releases the attempts that surely were not made. */
+    /** Releases the reserved attempts that were certainly not made. */
     void settle(final Reply reply) {
         if (reply.failure() == Reply.Failure.NOT_SENT) {
-            attempts.giveBack(reserved);
+            attempts.release(reserved);
         } else {
             reply.as(ForwardResponse.class)
-                    .ifPresent(filled -> attempts.giveBack(Math.min(reserved, filled.unusedAttempts())));
+                    .ifPresent(response -> attempts.release(Math.min(reserved, response.unusedAttempts())));
         }
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
@@ -11,9 +11,11 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** Where an edge's requests may go, derived from its node's membership. */
+/** Edge routing derived from the membership view of the node. */
 public final class MembershipRouting implements EdgeRouting {
+    /** The time without a message after which a node counts as unreachable. */
     private static final long MAX_SILENCE_MS = 1500;
+
     private final NodeSettings settings;
     private final Membership membership;
     private final VotingConfiguration votingConfiguration;
@@ -45,12 +47,15 @@
         return direct;
     }
 
-    /** Shields that are heard from: of the same zone first, then of the same region. */
+    /**
+     * The reachable shields: first those of the same zone, then those of the same region. Shields at the same distance are
+     * ordered by a hash that differs between edges, which spreads the load.
+     */
     @Override
     public List<NodeId> nearestShields() {
         final String location = settings.self().location();
         final String region = location.substring(0, location.lastIndexOf('/') + 1);
-        final int spread = settings.self().id().hashCode();
+        final int edgeHash = settings.self().id().hashCode();
         return membership.liveMembers(Role.SHIELD).stream()
                 .filter(member ->
                         member.status() != NodeStatus.DRAINING && membership.silenceMs(member.id()) <= MAX_SILENCE_MS)
@@ -58,7 +63,7 @@
                                 (Member member) -> member.location().equals(location)
                                         ? 0
                                         : member.location().startsWith(region) ? 1 : 2)
-                        .thenComparingInt(member -> (member.id().hashCode() ^ spread) & 0xffff))
+                        .thenComparingInt(member -> (member.id().hashCode() ^ edgeHash) & 0xffff))
                 .map(Member::id)
                 .toList();
     }
@@ -84,7 +89,7 @@
         return alone(settings, membership, votingConfiguration);
     }
 
-    /** Too few voters are heard from to learn anything new. */
+    /** Whether messages arrive from too few voters for a majority, so that this node cannot learn of new decisions. */
     public static boolean alone(
             final NodeSettings settings, final Membership membership, final VotingConfiguration votingConfiguration) {
         return votingConfiguration.voters().stream()
--- a/data/src/main/java/org/rowanvalve/data/edge/RequestAttempts.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/RequestAttempts.java
@@ -3,42 +3,43 @@
 import org.rowanvalve.data.limit.AttemptAllowance;
 
 /**
- * The origins that one client request may still be sent to, over all nodes. The edge that received the request keeps
- * the count: an attempt is reserved before a shield gets the request, and is released only if it surely was not made.
+ * Counts the attempts left for one client request, that is, to how many more origins all nodes together may send the
+ * request. The edge that received the request keeps the count. An attempt is reserved before the request is forwarded to a
+ * shield, and is released only if it was certainly not made.
  */
 final class RequestAttempts {
     private final int allowed;
-    private int left;
+    private int remaining;
 
     RequestAttempts(final int allowed) {
         this.allowed = allowed;
-        this.left = allowed;
+        this.remaining = allowed;
     }
 
-    /** Reserves one attempt; 0 where none is left. */
+    /** Reserves one attempt and returns 1, or returns 0 if none is left. */
     int reserve() {
-        if (left == 0) {
+        if (remaining == 0) {
             return 0;
         }
-        left--;
+        remaining--;
         return 1;
     }
 
-    void giveBack(final int unused) {
-        left = Math.min(allowed, left + Math.max(0, unused));
+    void release(final int unused) {
+        remaining = Math.min(allowed, remaining + Math.max(0, unused));
     }
 
     boolean anyLeft() {
-        return left > 0;
+        return remaining > 0;
     }
 
-    /** Whether an origin may have got the request. */
+    /** Whether an origin may have received the request. */
     boolean anyUsed() {
-        return left < allowed;
+        return remaining < allowed;
     }
 
-    /** For requests that this node sends itself: each attempt is taken from the same count. */
+    /** An allowance for requests that this edge sends to origins itself; its attempts are taken from the same count. */
     AttemptAllowance localAllowance() {
-        return AttemptAllowance.of(0, answer -> answer.accept(reserve()));
+        return AttemptAllowance.of(0, callback -> callback.accept(reserve()));
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
@@ -25,23 +25,24 @@
 import org.rowanvalve.data.routing.ShardRouting;
 
 /**
- * Forwards a request from an edge to shields: to the lease holder of its shard where a lease is needed, else through
- * any shield. The request's attempts are counted here, for all nodes together.
+ * Forwards a request from an edge to shields: to the lease holder of the request's shard if the request needs a lease,
+ * otherwise to any shield. Counts the attempts of the request over all nodes.
  */
 final class ShieldForwarding {
-    /** Silence after which a shield is skipped, in ms. */
+    /** The time without a message after which a shield is skipped, in ms. */
     private static final long MAX_SILENCE_MS = 650;
 
     private static final long WATCH_INTERVAL_MS = 100;
-    /** The part of its time-out for which a keyed request waits while nobody may send it. */
-    private static final double KEYED_PATIENCE = 0.4;
+    /** The fraction of its time-out during which a keyed request is retried while no shield may send it. */
+    private static final double KEYED_RETRY_FRACTION = 0.4;
     /**
-     * A read waits for a holder that may not fill for this part of its latency target at most, or for this long without
-     * one.
+     * The fraction of its latency target for which a read waits at most for a lease holder that may not fill the object yet.
      */
-    private static final double HOLDER_PATIENCE_PART = 0.25;
+    private static final double HOLDER_WAIT_FRACTION = 0.25;
+
+    /** The maximum wait for the lease holder if the route has no latency target, in ms. */
+    private static final long DEFAULT_HOLDER_WAIT_MS = 400;
 
-    private static final long DEFAULT_HOLDER_PATIENCE_MS = 400;
     private static final int MAX_HOLDER_REQUESTS = 3;
     private final Edge edge;
     private final EdgeRequest request;
@@ -51,17 +52,17 @@
     private final long marginMs;
     private final RequestAttempts attempts;
     private final Set<NodeId> askedShields = new HashSet<>();
-    /** Requests to shields that may have taken it up. */
+    /** The number of times the request was forwarded to shields. */
     private int requestsSent;
-    /** Shields that were asked to pass it through and have not answered. */
+    /** The number of pass-through forwards without a response. */
     private int openPassThroughs;
-    /** It is passed through without a lease. */
+    /** Whether the request is passed through without a lease. */
     private boolean passingThrough;
-    /** Requests to shields without a response, by serial. */
+    /** The shields of the forwards without a response, by serial. */
     private final Map<Long, NodeId> openForwards = new LinkedHashMap<>();
 
     private final DirectForwarding direct;
-    /** A shield may have sent it to an origin and has not reported the end. */
+    /** Whether an attempt without a reported outcome may have sent the request to an origin. */
     private boolean mayHaveRun;
 
     ShieldForwarding(final Edge edge, final EdgeRequest request) {
@@ -75,7 +76,7 @@
         this.direct = new DirectForwarding(edge, request, attempts);
     }
 
-    /** Where the request is now, as the log names it. */
+    /** The current place of the request, as events name it. */
     String place() {
         if (!openForwards.isEmpty()) {
             return "shield";
@@ -83,12 +84,12 @@
         return direct.isUnderWay() ? "direct" : "edge";
     }
 
-    /** Whether a shield has it, or this node is sending it to an origin. */
+    /** Whether a shield has the request, or this node is sending it to an origin. */
     boolean isUnderWay() {
         return !openForwards.isEmpty() || direct.isUnderWay();
     }
 
-    /** Tells all who work on it that nobody waits for what they have not answered yet. */
+    /** Cancels all forwards and direct attempts that have not been answered. */
     void cancelOpenForwards(final CancelCause cause) {
         openForwards.forEach((serial, shield) -> edge.sendCancel(shield, serial, cause));
         direct.cancel(cause);
@@ -117,12 +118,16 @@
                 && !(hasMode(RouteMode.CACHED) && clientRequest.method().equals("GET"))) {
             passThrough(ClientResponse.reject(503, "no shield is heard of", 300));
         } else {
-            askHolder(ClientResponse.reject(503, "no attempt is left", 1000));
+            forwardToHolder(ClientResponse.reject(503, "no attempt is left", 1000));
         }
     }
 
-    /** {@code lastResponse}: the response where no shield may be asked any more. */
-    private void askHolder(final ClientResponse lastResponse) {
+    /**
+     * Forwards the request to the lease holder of its shard.
+     *
+     * @param lastResponse the response to the client if no attempt is left
+     */
+    private void forwardToHolder(final ClientResponse lastResponse) {
         if (!attempts.anyLeft() && !hasMode(RouteMode.KEYED)) {
             finish(lastResponse);
             return;
@@ -172,13 +177,13 @@
             return;
         }
         final boolean isRetry = attempts.anyUsed();
-        final Forward exchange = new Forward(request, attempts, shield);
-        final long serial = edge.openForward(exchange);
+        final Forward forward = new Forward(request, attempts, shield);
+        final long serial = edge.openForward(forward);
         openForwards.put(serial, shield);
-        edge.net()
+        edge.transport()
                 .request(
                         shield,
-                        forwardRequest(serial, shard, passThrough, isRetry, exchange.reserved()),
+                        forwardRequest(serial, shard, passThrough, isRetry, forward.reserved()),
                         timeoutMs,
                         reply -> {
                             edge.closeForward(serial);
@@ -186,7 +191,7 @@
                             if (reply.failure() == Reply.Failure.NO_RESPONSE) {
                                 edge.sendCancel(shield, serial, CancelCause.ANSWERED);
                             }
-                            exchange.settle(reply);
+                            forward.settle(reply);
                             reply.as(ForwardResponse.class)
                                     .filter(ForwardResponse::isBehind)
                                     .ifPresent(refusal -> journalBehind(shield));
@@ -209,7 +214,11 @@
     }
 
     private ForwardRequest forwardRequest(
-            final long serial, final int shard, final boolean passThrough, final boolean isRetry, final int given) {
+            final long serial,
+            final int shard,
+            final boolean passThrough,
+            final boolean isRetry,
+            final int reservedAttempts) {
         return new ForwardRequest(
                 serial,
                 route.name(),
@@ -227,13 +236,16 @@
                 passThrough,
                 isRetry,
                 clientRequest.headers(),
-                given,
+                reservedAttempts,
                 edge.incarnation(),
                 request.routeVersion(),
                 edge.isViewFresh() ? request.service() : null);
     }
 
-    /** Where a shield does not answer, another passes a read through while there is time; the first response counts. */
+    /**
+     * Watches a forward without a response. If the shield falls silent before the deadline, another shield passes the request
+     * through, unless the request is at-most-once; the first response is delivered.
+     */
     private void watchShield(final NodeId shield, final long sentAt, final BooleanSupplier answered) {
         edge.loop().schedule(WATCH_INTERVAL_MS, () -> {
             if (request.finished()
@@ -252,11 +264,11 @@
         });
     }
 
-    /** Forwards to any shield: for requests that need no lease, or when nobody holds it. */
+    /** Forwards the request to any shield, for requests that need no lease or whose lease holder cannot fill the object. */
     void passThrough(final ClientResponse fallback) {
         passingThrough = true;
         final NodeId shield = edge.routing().nearestShields().stream()
-                .filter(n -> !askedShields.contains(n) && edge.routing().silenceMs(n) <= MAX_SILENCE_MS)
+                .filter(id -> !askedShields.contains(id) && edge.routing().silenceMs(id) <= MAX_SILENCE_MS)
                 .findFirst()
                 .orElse(null);
         final boolean tooLate = now() + marginMs >= deadline;
@@ -287,7 +299,7 @@
         watchShield(shield, sentAt, () -> answered[0]);
     }
 
-    /** No shield is heard from: it is sent to an origin from here. */
+    /** Sends the request from this node to an origin, because no shield is reachable. */
     private void sendDirectly(final ClientResponse fallback) {
         direct.send(completion -> {
             if (completion.response().result() == OriginTransport.ExchangeResult.COMPLETE) {
@@ -302,7 +314,7 @@
         });
     }
 
-    /** The response of a shield that was asked to pass it through. */
+    /** Handles the response of a shield to a pass-through forward. */
     private void onPassThroughResponse(final Reply reply) {
         if (request.finished()) {
             return;
@@ -337,7 +349,10 @@
                 || filled != null && filled.fate() == RequestOutcome.UNKNOWN;
     }
 
-    /** No holder to ask: a read is passed through where its route allows it. */
+    /**
+     * Handles the absence of a usable lease holder: a read is passed through and a keyed request is retried if the route
+     * permits any shield.
+     */
     private void onNoHolder(final ClientResponse fallback) {
         if (!passingThrough && mayUseAnyShield() && hasMode(RouteMode.CACHED)) {
             passThrough(fallback);
@@ -355,7 +370,7 @@
         final ForwardResponse filled = reply.as(ForwardResponse.class).orElse(null);
         recordUncertainty(reply, filled);
         if (filled == null) {
-            onHolderSilent(reply.failure());
+            onMissingHolderResponse(reply.failure());
         } else if (filled.fate() == RequestOutcome.REFUSED) {
             onRefused(filled);
         } else if (filled.token().isBelow(edge.highestToken(shard))) {
@@ -370,7 +385,7 @@
         }
     }
 
-    private void onHolderSilent(final Reply.Failure failure) {
+    private void onMissingHolderResponse(final Reply.Failure failure) {
         final ClientResponse uncertain = ClientResponse.unsure("the holder did not answer");
         if (failure == Reply.Failure.NOT_SENT) {
             retry(ClientResponse.reject(503, "the holder cannot be reached", 1000));
@@ -421,7 +436,10 @@
         }
     }
 
-    /** A rejection that a newer plan may resolve is retried soon, at most twice; keyed requests while there is time. */
+    /**
+     * Retries a rejection that a newer placement plan may resolve, after a short delay. Requests are retried at most twice,
+     * keyed requests for a fraction of their time-out.
+     */
     private void retry(final ClientResponse lastResponse) {
         if (request.finished() || request.handOver()) {
             return;
@@ -432,10 +450,10 @@
         }
         final boolean mayRetryKeyed = mayUseAnyShield()
                 && hasMode(RouteMode.KEYED)
-                && now() - request.startedAt() < partOfTime(KEYED_PATIENCE);
+                && now() - request.startedAt() < fractionOfTimeoutMs(KEYED_RETRY_FRACTION);
         final long delayMs = 60L * Math.max(1, Math.min(4, requestsSent));
         final boolean isRead = mayUseAnyShield() && hasMode(RouteMode.CACHED) && !passingThrough;
-        if (isRead && now() + delayMs - request.startedAt() > holderPatience()) {
+        if (isRead && now() + delayMs - request.startedAt() > maxHolderWaitMs()) {
             passThrough(lastResponse);
         } else if (requestsSent >= MAX_HOLDER_REQUESTS && !mayRetryKeyed || now() + delayMs + 200 >= deadline) {
             if (isRead) {
@@ -444,16 +462,16 @@
                 finish(lastResponse);
             }
         } else {
-            edge.loop().schedule(delayMs, () -> askHolder(lastResponse));
+            edge.loop().schedule(delayMs, () -> forwardToHolder(lastResponse));
         }
     }
 
-    private double partOfTime(final double part) {
-        return (deadline - request.startedAt()) * part;
+    private double fractionOfTimeoutMs(final double fraction) {
+        return (deadline - request.startedAt()) * fraction;
     }
 
-    private double holderPatience() {
-        final long aim = route.route().latencyTargetMs();
-        return aim > 0 ? aim * HOLDER_PATIENCE_PART : DEFAULT_HOLDER_PATIENCE_MS;
+    private double maxHolderWaitMs() {
+        final long latencyTargetMs = route.route().latencyTargetMs();
+        return latencyTargetMs > 0 ? latencyTargetMs * HOLDER_WAIT_FRACTION : DEFAULT_HOLDER_WAIT_MS;
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
+++ b/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
@@ -13,7 +13,7 @@
 import org.rowanvalve.control.record.RecordRetention;
 import org.rowanvalve.control.voting.Quorum;
 
-/** The settings of a process; {@code reloadable} is what may change while it runs. */
+/** The settings of a node. Those in {@code reloadable} may change while the node runs. */
 public record NodeSettings(
         Member self,
         List<NodeId> seeds,
@@ -52,22 +52,24 @@
         return quorum.contains(self.id());
     }
 
-    /** Whether the voters are chosen by ballot; where stores are named, they stay the configured ones. */
+    /** Whether the voting set may change by consensus. If stores are configured as voters, the voting set is fixed. */
     public boolean votersMayChange() {
         return quorum.stores().isEmpty();
     }
 
-    /** Where voters change, every shield has a disk and may become one. */
+    /** Whether this node may vote. If the voting set may change, every shield has a disk and may become a voter. */
     public boolean mayVote() {
         return isFoundingVoter() || votersMayChange() && hasRole(Role.SHIELD);
     }
 
-    /** Whether this node may lead: stores do; where no voter is named a store, every voter has a disk and may. */
+    /**
+     * Whether this node may lead. Stores may lead; if no store is configured as a voter, every voter has a disk and may lead.
+     */
     public boolean arbitrates() {
         return hasRole(Role.STORE) || votersMayChange() && mayVote();
     }
 
-    /** The index of a cell's region; the first where it is in none. */
+    /** The index of a cell's region; 0 if the cell is in none of the regions. */
     @Override
     public int indexOf(final String cell) {
         final List<String> regions = regions();
@@ -143,55 +145,58 @@
             return this;
         }
 
-        /** False where the network is known to have been founded before: an elector without memory then founds nothing. */
-        public Builder firstBoot(final boolean firstBootNow) {
-            firstBoot = firstBootNow;
+        /**
+         * Whether the network may be bootstrapped now. False if the network is known to have been bootstrapped before: a voter
+         * that has lost its stored state then does not bootstrap it again.
+         */
+        public Builder firstBoot(final boolean value) {
+            firstBoot = value;
             return this;
         }
 
-        /** The electors with their addresses, {@code ID@IP:PORT}, for nodes that do not know them yet. */
+        /** The founding voters with their addresses, {@code ID@IP:PORT}, for nodes that do not know the voters yet. */
         public Builder foundingVoters(final List<String> values) {
             foundingVoters = List.copyOf(values);
             return this;
         }
 
-        /** How long a draining edge still takes requests, so that load balancers can turn elsewhere. */
+        /** How long a draining edge still accepts requests, so that load balancers can switch to other edges. */
         public Builder drainNoticeMs(final long milliseconds) {
             drainNoticeMs = milliseconds;
             return this;
         }
 
-        /** Cells, or the beginnings of cells, that objects are filled for apart; the same on all nodes. */
+        /** Cells, or prefixes of cells, for which objects are filled separately. Must be the same on all nodes. */
         public Builder regions(final List<String> values) {
             regions = values;
             return this;
         }
 
-        /** How many voters may be lost at once; the set is made as large as that needs. */
+        /** How many voters may fail at once. The voting set is made large enough to tolerate this number. */
         public Builder toleratedLosses(final int value) {
             toleratedLosses = value;
             return this;
         }
 
-        /** The chosen set that votes now, where it is known; without it the founding set is taken. */
+        /** The current voting set as chosen by consensus, if known; otherwise the founding voters are used. */
         public Builder votingSet(final ChosenItem chosenSet) {
             votingSet = chosenSet;
             return this;
         }
 
-        /** How large operators' updates, and all they define, may be as stored. */
+        /** The maximum stored size of one operator's update, and of the whole configuration. */
         public Builder updateLimits(final UpdateLimits limits) {
             updateLimits = limits;
             return this;
         }
 
-        /** How long after a keyed request was sent its key must not run again. */
+        /** How long after a keyed request was sent a request with the same key must not run again, in ms. */
         public Builder keyWindowMs(final long milliseconds) {
             keyWindowMs = milliseconds;
             return this;
         }
 
-        /** Retries: a fraction of the requests to a service, and a number besides, in any 10 s over all nodes. */
+        /** Limits retries, in any 10 s over all nodes, to a fraction of the requests to a service plus a fixed number. */
         public Builder retryLimits(final double ratio, final double slackPerWindow) {
             retryRatio = ratio;
             retrySlack = slackPerWindow;
--- a/data/src/main/java/org/rowanvalve/data/settings/ReloadableSettings.java
+++ b/data/src/main/java/org/rowanvalve/data/settings/ReloadableSettings.java
@@ -6,12 +6,12 @@
 /**
  * The settings of a node that may change while it runs.
  *
- * @param timings lease times and the greatest age of a frame; only the latter changes in a running node
- * @param retryRatio extra tries for each request to a service
- * @param retrySlack extra tries beside those, in any 10 s over all nodes
- * @param drainNoticeMs how long a leaving edge still takes requests
- * @param regions cells, or the beginnings of cells, that objects are filled for apart; never empty
- * @param toleratedLosses how many voters may be lost at once; the voting set is made as large as that needs
+ * @param timings lease timings and the maximum age of a view; only the maximum age may change in a running node
+ * @param retryRatio permitted retries as a fraction of the requests to a service
+ * @param retrySlack number of retries permitted in addition to that fraction, in any 10 s over all nodes
+ * @param drainNoticeMs how long a draining edge still accepts requests
+ * @param regions cells, or prefixes of cells, for which objects are filled separately; never empty
+ * @param toleratedLosses how many voters may fail at once; the voting set is made large enough to tolerate this number
  */
 public record ReloadableSettings(
         LeaseTimings timings,
