--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -30,6 +30,14 @@
 final class EdgeRequest {
     static final String CLIENT_HAS_LEFT = "the client has left";
     private static final long NOT_LEFT = -1;
+    private static final int MAX_KEY_LENGTH = 128;
+    /** Time reserved for returning the response if the client states a deadline, in ms. */
+    private static final long STATED_DEADLINE_MARGIN_MS = 20;
+    /** Time reserved for returning the response if the client states no deadline, in ms. */
+    private static final long DEFAULT_MARGIN_MS = 300;
+    /** Time added to the route's time-out if the client states no deadline, in ms. */
+    private static final long DEFAULT_DEADLINE_SLACK_MS = 500;
+
     private final Edge edge;
     private final ClientRequest request;
     private final ConfiguredRoute route;
@@ -73,12 +81,12 @@
                 .number();
         this.service = route.route().pickService(Hash.hash64(splitKey()));
         final boolean deadlineStated = request.timeoutMs() > 0;
-        this.marginMs = deadlineStated ? 20 : 300;
+        this.marginMs = deadlineStated ? STATED_DEADLINE_MARGIN_MS : DEFAULT_MARGIN_MS;
         this.startedAt = now();
         this.deadline = now()
                 + (deadlineStated
                         ? Math.max(1, Math.min(request.timeoutMs(), route.timeoutMs()))
-                        : route.timeoutMs() + 500);
+                        : route.timeoutMs() + DEFAULT_DEADLINE_SLACK_MS);
         this.forwarding = new ShieldForwarding(edge, this);
     }
 
@@ -251,7 +259,7 @@
             case KEY ->
                 (request.key() == null
                                 || request.key().isEmpty()
-                                || request.key().length() > 128)
+                                || request.key().length() > MAX_KEY_LENGTH)
                         && reject(400, "header Rv-Key must be 1 to 128 characters", 0);
             case VIEW -> !edge.isViewFresh() && onStaleView();
             case LOOK_UP -> request.method().equals("GET") && answerFromCache();
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
@@ -37,7 +37,7 @@
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.data.request.ClientResponse;
 
-/** An edge on a loop of virtual time, whose shields answer by hand. */
+/** An edge on a virtual-time event loop. The test itself supplies the responses of the shields. */
 abstract class EdgeFixture {
     static final NodeId N1 = NodeId.of("n1");
     static final NodeId N2 = NodeId.of("n2");
@@ -45,35 +45,35 @@
     final EventJournal journal = new EventJournal(loop, 1000);
     final ItemStore items = new ItemStore(loop, journal);
     final ConfigurationView configuration = new ConfigurationView(items);
-    final List<Asked> asked = new ArrayList<>();
-    final List<ClientResponse> said = new ArrayList<>();
-    final Map<NodeId, Long> silence = new HashMap<>();
-    final List<NodeId> near = new ArrayList<>(List.of(N1, N2, NodeId.of("n3"), NodeId.of("n4")));
-    boolean fresh = true;
-    boolean alone;
+    final List<SentForward> forwards = new ArrayList<>();
+    final List<ClientResponse> clientResponses = new ArrayList<>();
+    final Map<NodeId, Long> silenceMs = new HashMap<>();
+    final List<NodeId> nearestShields = new ArrayList<>(List.of(N1, N2, NodeId.of("n3"), NodeId.of("n4")));
+    boolean viewFresh = true;
+    boolean withoutQuorum;
     boolean takesCancels = true;
-    long heard;
+    long lastResponseAt;
     OriginDispatcher direct;
     final List<CancelRequest> cancels = new ArrayList<>();
-    final Transport transport = (recipient, msg, wait, then) -> {
+    final Transport transport = (recipient, msg, wait, callback) -> {
         if (msg instanceof CancelRequest cancel) {
             cancels.add(cancel);
         } else {
-            asked.add(new Asked(recipient, (ForwardRequest) msg, then));
+            forwards.add(new SentForward(recipient, (ForwardRequest) msg, callback));
         }
     };
     final Edge edge = new Edge(
             loop,
             transport,
             configuration,
-            () -> fresh,
+            () -> viewFresh,
             1,
             journal,
             1 << 20,
-            new FixedRouting(near, silence) {
+            new FixedRouting(nearestShields, silenceMs) {
                 @Override
                 public boolean isWithoutQuorum() {
-                    return alone;
+                    return withoutQuorum;
                 }
 
                 @Override
@@ -88,32 +88,32 @@
             },
             "boot-1");
 
-    record Asked(NodeId to, ForwardRequest fill, Consumer<Reply> then) {}
+    record SentForward(NodeId to, ForwardRequest request, Consumer<Reply> callback) {}
 
-    void put(final ItemId id, final long ver, final Object body) {
-        items.merge(new ChosenItem(Ballot.ZERO, new Item(id, new Version(ver), Json.write(body), false, "")));
+    void putItem(final ItemId id, final long version, final Object body) {
+        items.merge(new ChosenItem(Ballot.ZERO, new Item(id, new Version(version), Json.write(body), false, "")));
     }
 
     @BeforeEach
     void begin() {
-        put(new ItemId(ItemKind.SERVICE, "s"), 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
+        putItem(new ItemId(ItemKind.SERVICE, "s"), 1, new Service(ServiceKind.OPEN, 0, 1000, 5000, 0, 0, ""));
         for (final RouteMode m : List.of(RouteMode.CACHED, RouteMode.STATUS, RouteMode.KEYED, RouteMode.AT_MOST_ONCE)) {
-            put(
+            putItem(
                     new ItemId(ItemKind.ROUTE, m.code()),
                     1,
                     new Route("/" + m + "/", "s", m, 1000, true, "", "h", List.of(), true, 2000, 0, 0, 3, ""));
         }
-        put(ItemId.PLAN, 1, new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("n1", 1, 1))));
+        putItem(ItemId.PLAN, 1, new PlacementPlan(1, 1, List.of(new PlacementPlan.Assignment("n1", 1, 1))));
     }
 
-    void aim(final RouteMode mode, final long ms) {
-        put(
+    void setLatencyTarget(final RouteMode mode, final long ms) {
+        putItem(
                 new ItemId(ItemKind.ROUTE, mode.code()),
                 2,
                 new Route("/" + mode + "/", "s", mode, 1000, true, "", "h", List.of(), true, 2000, ms, 0, 3, ""));
     }
 
-    void ask(final RouteMode mode, final String range, final Map<String, String> heads) {
+    void send(final RouteMode mode, final String range, final Map<String, String> headers) {
         edge.handle(
                 new ClientRequest(
                         mode == RouteMode.KEYED || mode == RouteMode.AT_MOST_ONCE ? "POST" : "GET",
@@ -125,39 +125,52 @@
                         "id",
                         1200,
                         range,
-                        heads),
+                        headers),
                 response -> {
-                    said.add(response);
-                    heard = loop.now();
+                    clientResponses.add(response);
+                    lastResponseAt = loop.now();
                 });
         loop.run(1);
     }
 
-    void ask(final RouteMode mode) {
-        ask(mode, null, Map.of());
+    void send(final RouteMode mode) {
+        send(mode, null, Map.of());
     }
 
-    Asked at(final int i) {
-        return asked.get(i);
+    SentForward forward(final int i) {
+        return forwards.get(i);
     }
 
-    void back(final int i, final Reply reply) {
-        at(i).then().accept(reply);
+    void respond(final int i, final Reply reply) {
+        forward(i).callback().accept(reply);
     }
 
     static Reply filled(
-            final RequestOutcome fate, final int status, final String why, final long retry, final VersionVector mark) {
+            final RequestOutcome fate,
+            final int status,
+            final String reason,
+            final long retryAfterMs,
+            final VersionVector versions) {
         return Reply.of(new ForwardResponse(
-                fate, why, status, new FencingToken(1, 1), Map.of(), why.getBytes(), 0, mark, retry, "s"));
+                fate,
+                reason,
+                status,
+                new FencingToken(1, 1),
+                Map.of(),
+                reason.getBytes(),
+                0,
+                versions,
+                retryAfterMs,
+                "s"));
     }
 
     static Reply good(final String body) {
         return filled(RequestOutcome.DONE, 200, body, 0, null);
     }
 
-    /** A refusal says that the attempt given with the request was not used. */
-    static Reply refused(final long retry) {
-        return Reply.of(filled(RequestOutcome.REFUSED, 503, "no", retry, null)
+    /** A rejection which reports that the attempt reserved for the shield was not used. */
+    static Reply refused(final long retryAfterMs) {
+        return Reply.of(filled(RequestOutcome.REFUSED, 503, "no", retryAfterMs, null)
                 .as(ForwardResponse.class)
                 .orElseThrow()
                 .withUnusedAttempts(1));
@@ -172,7 +185,7 @@
     }
 
     int status() {
-        assertEquals(1, said.size(), "answered once");
-        return said.get(0).status();
+        assertEquals(1, clientResponses.size(), "answered once");
+        return clientResponses.get(0).status();
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeReadsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeReadsTest.java
@@ -19,129 +19,133 @@
 import org.rowanvalve.data.origin.OriginDispatch;
 import org.rowanvalve.data.request.ClientResponse;
 
-/** Reads that may be kept, at an edge: one pass for all who wait, and what goes on where no holder may fill. */
+/** Cacheable reads at an edge: coalescing of fills, and the fallback if no lease holder may fill the object. */
 class EdgeReadsTest extends EdgeFixture {
     @Test
-    void readsGoOnWithoutAHolderUnkept() {
-        near.remove(N1);
-        ask(RouteMode.CACHED);
-        assertTrue(at(0).fill().passThrough());
-        back(0, good("x"));
+    void readsWithoutAHolderPassThroughUncached() {
+        nearestShields.remove(N1);
+        send(RouteMode.CACHED);
+        assertTrue(forward(0).request().passThrough());
+        respond(0, good("x"));
         assertEquals(200, status());
-        ask(RouteMode.CACHED);
-        assertEquals(2, asked.size(), "not kept");
+        send(RouteMode.CACHED);
+        assertEquals(2, forwards.size(), "the response was not cached");
     }
 
     @Test
-    void readsGoOnWhereTheHolderFallsSilent() {
-        ask(RouteMode.CACHED);
-        assertFalse(at(0).fill().passThrough());
-        silence.put(N1, 1000L);
+    void readsPassThroughWhenTheHolderFallsSilent() {
+        send(RouteMode.CACHED);
+        assertFalse(forward(0).request().passThrough());
+        silenceMs.put(N1, 1000L);
         loop.run(350);
-        assertTrue(at(1).fill().passThrough());
-        back(1, good("x"));
-        back(0, good("late"));
+        assertTrue(forward(1).request().passThrough());
+        respond(1, good("x"));
+        respond(0, good("late"));
         assertEquals(200, status());
     }
 
-    private VersionVector mark() {
+    private VersionVector currentVersions() {
         return configuration.versionsOf(configuration.route("h", "/cached/1").orElseThrow(), "/cached/1");
     }
 
     @Test
-    void aCopyServesAllWhoWaitAndWhoComesLaterAlsoInParts() {
-        ask(RouteMode.CACHED);
-        ask(RouteMode.CACHED, "bytes=1-2", Map.of());
-        assertEquals(1, asked.size());
-        back(0, filled(RequestOutcome.DONE, 200, "abcd", 0, mark()));
+    void aCopyServesWaitingAndLaterRequestsIncludingRanges() {
+        send(RouteMode.CACHED);
+        send(RouteMode.CACHED, "bytes=1-2", Map.of());
+        assertEquals(1, forwards.size());
+        respond(0, filled(RequestOutcome.DONE, 200, "abcd", 0, currentVersions()));
         assertEquals(
-                List.of(200, 206), said.stream().map(ClientResponse::status).toList());
-        ask(RouteMode.CACHED, "bytes=9-", Map.of());
-        ask(RouteMode.CACHED);
+                List.of(200, 206),
+                clientResponses.stream().map(ClientResponse::status).toList());
+        send(RouteMode.CACHED, "bytes=9-", Map.of());
+        send(RouteMode.CACHED);
         assertEquals(
                 List.of(200, 206, 416, 200),
-                said.stream().map(ClientResponse::status).toList());
-        assertEquals(1, asked.size());
-        assertEquals("bc", new String(said.get(1).body()));
+                clientResponses.stream().map(ClientResponse::status).toList());
+        assertEquals(1, forwards.size());
+        assertEquals("bc", new String(clientResponses.get(1).body()));
     }
 
     @Test
-    void whatWasPurgedWhileItWasFilledIsFilledAnew() {
-        ask(RouteMode.CACHED);
-        put(new ItemId(ItemKind.PURGE, "h.1"), 4, new Purge(null, "/cached/1", null, "h", null));
-        back(0, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(Map.of())));
+    void anObjectPurgedDuringItsFillIsFilledAgain() {
+        send(RouteMode.CACHED);
+        putItem(new ItemId(ItemKind.PURGE, "h.1"), 4, new Purge(null, "/cached/1", null, "h", null));
+        respond(0, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(Map.of())));
         loop.run(70);
-        assertEquals(Map.of("p/h.1", 4L), at(1).fill().versions().versions());
-        put(new ItemId(ItemKind.PURGE, "t.1"), 5, new Purge(null, null, null, null, "t1"));
-        final Map<String, Long> tagged = new HashMap<>(mark().versions());
+        assertEquals(Map.of("p/h.1", 4L), forward(1).request().versions().versions());
+        putItem(new ItemId(ItemKind.PURGE, "t.1"), 5, new Purge(null, null, null, null, "t1"));
+        final Map<String, Long> tagged = new HashMap<>(currentVersions().versions());
         tagged.put("t/t1", 0L);
-        back(1, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(tagged)));
+        respond(1, filled(RequestOutcome.DONE, 200, "old", 0, new VersionVector(tagged)));
         loop.run(130);
         tagged.put("t/t1", 5L);
-        back(2, filled(RequestOutcome.DONE, 200, "new", 0, new VersionVector(tagged)));
-        assertEquals("new", new String(said.get(0).body()));
-        assertEquals(1, said.size());
-        put(new ItemId(ItemKind.PURGE, "t.1"), 6, new Purge(null, null, null, null, "t1"));
-        ask(RouteMode.CACHED);
-        assertEquals(4, asked.size(), "the kept copy has that tag");
+        respond(2, filled(RequestOutcome.DONE, 200, "new", 0, new VersionVector(tagged)));
+        assertEquals("new", new String(clientResponses.get(0).body()));
+        assertEquals(1, clientResponses.size());
+        putItem(new ItemId(ItemKind.PURGE, "t.1"), 6, new Purge(null, null, null, null, "t1"));
+        send(RouteMode.CACHED);
+        assertEquals(4, forwards.size(), "the cached copy has the purged tag");
     }
 
-    /** What one caller has already is no answer for another who waits for the same fill. */
+    /**
+     * Guards against conditional headers of one client in a coalesced fill: a 304 response would not answer the other
+     * clients.
+     */
     @Test
-    void oneCallersConditionsDoNotGoWithAFillForMany() {
-        ask(RouteMode.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
-        ask(RouteMode.CACHED);
-        assertEquals(Map.of("Accept-Language", "sw"), at(0).fill().headers());
-        ask(RouteMode.STATUS, null, Map.of("If-None-Match", "\"v1\""));
-        assertEquals(Map.of("If-None-Match", "\"v1\""), at(1).fill().headers());
+    void conditionalHeadersOfOneClientAreNotSentWithASharedFill() {
+        send(RouteMode.CACHED, null, Map.of("If-None-Match", "\"v1\"", "Accept-Language", "sw"));
+        send(RouteMode.CACHED);
+        assertEquals(Map.of("Accept-Language", "sw"), forward(0).request().headers());
+        send(RouteMode.STATUS, null, Map.of("If-None-Match", "\"v1\""));
+        assertEquals(Map.of("If-None-Match", "\"v1\""), forward(1).request().headers());
     }
 
-    /** It answers, and may not fill: a read is worth less with each moment, so it goes on without the right. */
+    /** A lease holder that responds but may not fill delays a read only briefly; the read then continues without a lease. */
     @Test
-    void aReadWaitsForAHolderThatMayNotFillForAQuarterOfItsAimAtMost() {
-        aim(RouteMode.CACHED, 400);
-        final long begun = loop.now();
-        ask(RouteMode.CACHED);
-        back(0, refused(500));
+    void aReadWaitsAtMostAQuarterOfItsLatencyTargetForAHolderThatMayNotFill() {
+        setLatencyTarget(RouteMode.CACHED, 400);
+        final long startedAt = loop.now();
+        send(RouteMode.CACHED);
+        respond(0, refused(500));
         loop.run(70);
-        assertFalse(at(1).fill().passThrough(), "it may have got the right meanwhile");
-        back(1, refused(500));
+        assertFalse(forward(1).request().passThrough(), "the holder may have obtained the lease in the meantime");
+        respond(1, refused(500));
         loop.run(30);
-        assertTrue(at(2).fill().passThrough());
-        assertFalse(at(2).fill().retry(), "nothing was sent");
-        assertTrue(loop.now() - begun <= 110, "a quarter of 400");
-        back(2, good("x"));
+        assertTrue(forward(2).request().passThrough());
+        assertFalse(forward(2).request().retry(), "nothing was sent");
+        assertTrue(loop.now() - startedAt <= 110, "a quarter of the latency target of 400 ms");
+        respond(2, good("x"));
         assertEquals(200, status());
-        said.clear();
-        asked.clear();
-        ask(RouteMode.CACHED);
-        back(0, refused(1000));
-        assertTrue(at(1).fill().passThrough(), "at once where the holder needs longer");
+        clientResponses.clear();
+        forwards.clear();
+        send(RouteMode.CACHED);
+        respond(0, refused(1000));
+        assertTrue(forward(1).request().passThrough(), "immediately if the holder needs longer");
     }
 
     @Test
-    void aReadThatNobodyMayFillIsRefusedAtOnceWithWhenToComeBack() {
-        aim(RouteMode.CACHED, 400);
-        ask(RouteMode.CACHED);
-        near.clear();
-        final long begun = loop.now();
-        back(0, refused(1000));
+    void aReadThatNoNodeMayFillIsRejectedImmediatelyWithRetryAfter() {
+        setLatencyTarget(RouteMode.CACHED, 400);
+        send(RouteMode.CACHED);
+        nearestShields.clear();
+        final long startedAt = loop.now();
+        respond(0, refused(1000));
         assertEquals(503, status());
-        assertEquals(begun, loop.now());
-        assertEquals(1000, said.get(0).retryAfterMs());
+        assertEquals(startedAt, loop.now());
+        assertEquals(1000, clientResponses.get(0).retryAfterMs());
     }
 
-    /** Passed through by another shield it would cost as much of the ceiling and be kept by nobody. */
+    /** A pass-through by another shield would use up as much of the rate limit, and its response would not be cached. */
     @Test
-    void aReadForWhichTheCeilingHasNoRoomIsRefusedAtOnce() {
-        ask(RouteMode.CACHED);
-        back(
+    void aReadOverTheRateLimitIsRejectedImmediately() {
+        send(RouteMode.CACHED);
+        respond(
                 0,
                 Reply.of(filled(RequestOutcome.REFUSED, 503, OriginDispatch.RATE_EXHAUSTED, 1000, null)
                         .as(ForwardResponse.class)
                         .orElseThrow()
                         .withUnusedAttempts(1)));
-        assertEquals(1, asked.size(), "no other shield is asked");
+        assertEquals(1, forwards.size(), "no other shield is asked");
         assertEquals(503, status());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
@@ -27,147 +27,149 @@
 import org.rowanvalve.data.request.ClientResponse;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** A request's way through an edge, on routes whose uncached requests may go through any shield. */
+/** Forwarding of requests by an edge, on routes whose uncached requests may go through any shield. */
 class EdgeTest extends EdgeFixture {
     @Test
-    void whatNeedsNoRightGoesThroughTheNearestShield() {
-        ask(RouteMode.STATUS);
-        assertEquals(N1, at(0).to());
-        assertTrue(at(0).fill().passThrough());
-        assertFalse(at(0).fill().retry());
-        assertEquals(-1, at(0).fill().shard());
-        assertNull(at(0).fill().versions());
-        assertTrue(at(0).fill().timeoutMs() < 1200 && at(0).fill().timeoutMs() > 1000);
-        back(0, good("x"));
+    void requestsWithoutALeaseGoThroughTheNearestShield() {
+        send(RouteMode.STATUS);
+        assertEquals(N1, forward(0).to());
+        assertTrue(forward(0).request().passThrough());
+        assertFalse(forward(0).request().retry());
+        assertEquals(-1, forward(0).request().shard());
+        assertNull(forward(0).request().versions());
+        assertTrue(
+                forward(0).request().timeoutMs() < 1200 && forward(0).request().timeoutMs() > 1000);
+        respond(0, good("x"));
         assertEquals(200, status());
     }
 
     @Test
-    void aShieldThatRefusedHasSentNothingSoTheNextIsNoExtraTry() {
-        ask(RouteMode.AT_MOST_ONCE);
-        back(0, refused(500));
-        back(1, unsent());
-        assertEquals(N2, at(1).to());
-        assertFalse(at(1).fill().retry() || at(2).fill().retry());
-        back(2, refused(500));
+    void aForwardAfterARejectionIsNotMarkedAsARetry() {
+        send(RouteMode.AT_MOST_ONCE);
+        respond(0, refused(500));
+        respond(1, unsent());
+        assertEquals(N2, forward(1).to());
+        assertFalse(forward(1).request().retry() || forward(2).request().retry());
+        respond(2, refused(500));
         assertEquals(503, status());
-        assertEquals(RequestOutcome.REFUSED, said.get(0).fate());
+        assertEquals(RequestOutcome.REFUSED, clientResponses.get(0).fate());
     }
 
     @Test
-    void aReadIsAskedElsewhereAsAnExtraTryAnythingElseIsNot() {
-        ask(RouteMode.STATUS);
-        back(0, silent());
-        assertTrue(at(1).fill().retry());
-        back(1, good("x"));
+    void readsAreRetriedAtAnotherShieldAtMostOnceRequestsAreNot() {
+        send(RouteMode.STATUS);
+        respond(0, silent());
+        assertTrue(forward(1).request().retry());
+        respond(1, good("x"));
         assertEquals(200, status());
-        said.clear();
-        asked.clear();
-        ask(RouteMode.AT_MOST_ONCE);
-        back(0, silent());
+        clientResponses.clear();
+        forwards.clear();
+        send(RouteMode.AT_MOST_ONCE);
+        respond(0, silent());
         loop.run(1300);
-        assertEquals(1, asked.size());
+        assertEquals(1, forwards.size());
         assertEquals(504, status());
-        assertEquals(RequestOutcome.UNKNOWN, said.get(0).fate());
+        assertEquals(RequestOutcome.UNKNOWN, clientResponses.get(0).fate());
     }
 
     @Test
-    void aShieldThatFallsSilentIsNotWaitedForByReads() {
-        ask(RouteMode.STATUS);
+    void readsDoNotWaitForAShieldThatFallsSilent() {
+        send(RouteMode.STATUS);
         loop.run(250);
-        assertEquals(1, asked.size(), "it is heard from");
-        silence.put(N1, 1000L);
+        assertEquals(1, forwards.size(), "the shield is still reachable");
+        silenceMs.put(N1, 1000L);
         loop.run(100);
-        assertEquals(2, asked.size());
-        assertEquals(N2, at(1).to());
-        back(0, good("first"));
-        back(1, good("second"));
+        assertEquals(2, forwards.size());
+        assertEquals(N2, forward(1).to());
+        respond(0, good("first"));
+        respond(1, good("second"));
         assertEquals(200, status());
-        said.clear();
-        asked.clear();
-        ask(RouteMode.AT_MOST_ONCE);
+        clientResponses.clear();
+        forwards.clear();
+        send(RouteMode.AT_MOST_ONCE);
         loop.run(900);
-        assertEquals(1, asked.size(), "at most once");
+        assertEquals(1, forwards.size(), "at most once");
     }
 
     @Test
-    void aKeyedRequestIsAskedAgainUnderItsKey() {
-        ask(RouteMode.KEYED);
-        assertEquals(0, at(0).fill().shard());
-        back(0, silent());
+    void aKeyedRequestIsRetriedUnderItsKey() {
+        send(RouteMode.KEYED);
+        assertEquals(0, forward(0).request().shard());
+        respond(0, silent());
         loop.run(70);
-        assertEquals("k", at(1).fill().key());
-        back(1, refused(500));
+        assertEquals("k", forward(1).request().key());
+        respond(1, refused(500));
         loop.run(200);
-        back(2, good("x"));
+        respond(2, good("x"));
         assertEquals(200, status());
     }
 
     @Test
-    void aRefusalPromisesNothingOnceAWayMayHaveSentIt() {
-        ask(RouteMode.KEYED);
-        back(0, silent());
+    void aRejectionBecomesUnknownOnceAnAttemptMayHaveBeenSent() {
+        send(RouteMode.KEYED);
+        respond(0, silent());
         loop.run(70);
-        for (int i = 1; i < 20 && said.isEmpty(); i++) {
-            back(i, refused(500));
+        for (int i = 1; i < 20 && clientResponses.isEmpty(); i++) {
+            respond(i, refused(500));
             loop.run(300);
         }
         assertEquals(504, status());
-        assertEquals(RequestOutcome.UNKNOWN, said.get(0).fate());
+        assertEquals(RequestOutcome.UNKNOWN, clientResponses.get(0).fate());
     }
 
     @Test
-    void aRefusalStandsWhereNothingWasEverSent() {
-        ask(RouteMode.KEYED);
-        for (int i = 0; i < 20 && said.isEmpty(); i++) {
-            back(i, i % 2 == 0 ? unsent() : refused(500));
+    void aRejectionIsReturnedIfNothingWasSent() {
+        send(RouteMode.KEYED);
+        for (int i = 0; i < 20 && clientResponses.isEmpty(); i++) {
+            respond(i, i % 2 == 0 ? unsent() : refused(500));
             loop.run(300);
         }
         assertEquals(503, status());
-        assertEquals(RequestOutcome.REFUSED, said.get(0).fate());
-        assertTrue(said.get(0).retryAfterMs() > 0);
-        assertTrue(heard < 10_000 + 1200, "before the caller gives up");
+        assertEquals(RequestOutcome.REFUSED, clientResponses.get(0).fate());
+        assertTrue(clientResponses.get(0).retryAfterMs() > 0);
+        assertTrue(lastResponseAt < 10_000 + 1200, "before the client times out");
     }
 
     @Test
-    void whatTheHolderDoesNotKnowIsUnknown() {
-        ask(RouteMode.KEYED);
-        back(0, filled(RequestOutcome.UNKNOWN, 502, "lost", 0, null));
+    void anUnknownOutcomeAtTheHolderIsReportedAsUnknown() {
+        send(RouteMode.KEYED);
+        respond(0, filled(RequestOutcome.UNKNOWN, 502, "lost", 0, null));
         assertEquals(504, status());
     }
 
     @Test
-    void anEarlierHoldersAnswerIsNoAnswer() {
-        ask(RouteMode.KEYED);
-        put(ItemId.PLAN, 2, new PlacementPlan(2, 1, List.of(new PlacementPlan.Assignment("n2", 1, 2))));
-        back(0, silent());
+    void aResponseOfAnEarlierHolderIsNotAccepted() {
+        send(RouteMode.KEYED);
+        putItem(ItemId.PLAN, 2, new PlacementPlan(2, 1, List.of(new PlacementPlan.Assignment("n2", 1, 2))));
+        respond(0, silent());
         loop.run(70);
-        assertEquals(N2, at(1).to());
-        back(1, good("low token"));
+        assertEquals(N2, forward(1).to());
+        respond(1, good("low token"));
         assertEquals(504, status());
     }
 
     @Test
-    void withAStaleFrameOnlyWhatNeedsNoRightGoesOnAndOnlyWhereNobodyCanBeHeard() {
-        fresh = false;
-        ask(RouteMode.STATUS);
-        ask(RouteMode.CACHED);
+    void withAStaleViewOnlyRequestsWithoutALeaseAreForwardedAndOnlyWithoutQuorum() {
+        viewFresh = false;
+        send(RouteMode.STATUS);
+        send(RouteMode.CACHED);
         assertEquals(
-                List.of(503, 503), said.stream().map(ClientResponse::status).toList());
-        assertEquals(0, asked.size());
-        alone = true;
-        ask(RouteMode.STATUS);
-        ask(RouteMode.CACHED);
-        assertTrue(at(0).fill().passThrough() && at(1).fill().passThrough());
+                List.of(503, 503),
+                clientResponses.stream().map(ClientResponse::status).toList());
+        assertEquals(0, forwards.size());
+        withoutQuorum = true;
+        send(RouteMode.STATUS);
+        send(RouteMode.CACHED);
+        assertTrue(forward(0).request().passThrough() && forward(1).request().passThrough());
         edge.handle(
                 new ClientRequest("GET", "h", "/nowhere/1", null, new byte[0], null, "id", 1200, null, Map.of()),
-                said::add);
-        assertEquals(503, said.get(2).status(), "no 404 without a confirmed frame");
+                clientResponses::add);
+        assertEquals(503, clientResponses.get(2).status(), "no 404 without a confirmed view");
     }
 
-    /** Once only needs a holder; everything else an origin takes from the edge itself, as long as no shield is heard of. */
+    /** Keyed requests need a lease holder; the edge sends other requests to origins itself while no shield is reachable. */
     @Test
-    void anEdgeThatHearsNoShieldSendsReadsItself() {
+    void anEdgeWithoutReachableShieldsSendsReadsToOrigins() {
         final AnsweringOrigins port = new AnsweringOrigins(loop, new ArrayList<>());
         final List<OriginTransport.OutboundRequest> sent = port.sent();
         final Member self = new Member(NodeId.of("e"), Role.EDGE, "z", "127.0.0.1", 1, "b", NodeStatus.READY, "1");
@@ -178,71 +180,73 @@
                 port,
                 configuration,
                 null,
-                new OriginDispatcher.Surroundings(() -> fresh, () -> alone, List::of, () -> 2),
+                new OriginDispatcher.Surroundings(() -> viewFresh, () -> withoutQuorum, List::of, () -> 2),
                 journal);
-        put(
+        putItem(
                 new ItemId(ItemKind.ORIGIN, "o"),
                 1,
                 new Origin("s", "10.0.0.1", 80, "o", ServiceKind.OPEN, 0, 0, false, 1, "z", 4, 0));
-        ask(RouteMode.STATUS);
+        send(RouteMode.STATUS);
         loop.run(5);
-        assertEquals(1, asked.size(), "a shield is there");
-        asked.clear();
-        near.clear();
-        ask(RouteMode.STATUS);
-        ask(RouteMode.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
+        assertEquals(1, forwards.size(), "a shield is reachable");
+        forwards.clear();
+        nearestShields.clear();
+        send(RouteMode.STATUS);
+        send(RouteMode.CACHED, "bytes=1-2", Map.of("If-None-Match", "\"v1\""));
         loop.run(5);
         assertEquals(
-                List.of(200, 206), said.stream().map(ClientResponse::status).toList());
-        assertEquals(Map.of("x", "y"), said.get(0).headers());
+                List.of(200, 206),
+                clientResponses.stream().map(ClientResponse::status).toList());
+        assertEquals(Map.of("x", "y"), clientResponses.get(0).headers());
         assertEquals(
                 List.of("/status/1", "/cached/1"),
                 sent.stream().map(OriginTransport.OutboundRequest::path).toList());
         assertEquals(Map.of(), sent.get(1).headers());
         assertEquals("id", sent.get(0).requestId());
-        ask(RouteMode.KEYED);
+        send(RouteMode.KEYED);
         loop.run(1200);
         assertEquals(2, sent.size());
     }
 
     @Test
-    void whereNoShieldIsHeardOfTheRefusalComesAtOnce() {
-        near.clear();
-        final long begun = loop.now();
-        ask(RouteMode.STATUS);
-        ask(RouteMode.CACHED);
+    void withoutReachableShieldsReadsAreRejectedImmediately() {
+        nearestShields.clear();
+        final long startedAt = loop.now();
+        send(RouteMode.STATUS);
+        send(RouteMode.CACHED);
         assertEquals(
-                List.of(503, 503), said.stream().map(ClientResponse::status).toList());
-        assertTrue(loop.now() - begun < 10);
-        ask(RouteMode.KEYED);
+                List.of(503, 503),
+                clientResponses.stream().map(ClientResponse::status).toList());
+        assertTrue(loop.now() - startedAt < 10);
+        send(RouteMode.KEYED);
         loop.run(1200);
-        assertEquals(503, said.get(2).status());
+        assertEquals(503, clientResponses.get(2).status());
     }
 
-    /** Guards against a shield that runs a request by an older version than its edge goes by. */
+    /** Guards against a shield that runs a request under an older version of the route than the edge used. */
     @Test
-    void aShieldIsToldTheVersionOfTheRouteAndTheServiceThatItGivesTheRequestTo() {
-        aim(RouteMode.STATUS, 100);
-        ask(RouteMode.STATUS);
-        assertEquals(2L, at(0).fill().routeVersion());
-        assertEquals("s", at(0).fill().service());
-        back(0, good("x"));
-        fresh = false;
-        alone = true;
-        ask(RouteMode.STATUS);
-        assertEquals(2L, at(1).fill().routeVersion());
-        assertNull(at(1).fill().service(), "a view that is not confirmed decides nothing for a shield");
+    void aForwardCarriesTheRouteVersionAndTheSelectedService() {
+        setLatencyTarget(RouteMode.STATUS, 100);
+        send(RouteMode.STATUS);
+        assertEquals(2L, forward(0).request().routeVersion());
+        assertEquals("s", forward(0).request().service());
+        respond(0, good("x"));
+        viewFresh = false;
+        withoutQuorum = true;
+        send(RouteMode.STATUS);
+        assertEquals(2L, forward(1).request().routeVersion());
+        assertNull(forward(1).request().service(), "a view that is not confirmed decides nothing for a shield");
     }
 
-    /** Guards against a request that joins a fill from before its route changed. */
+    /** Guards against a request that joins a fill which started before the route changed. */
     @Test
-    void aNewerVersionOfTheRouteStartsAFillOfItsOwn() {
-        ask(RouteMode.CACHED);
-        ask(RouteMode.CACHED);
-        assertEquals(1, asked.size());
-        aim(RouteMode.CACHED, 100);
-        ask(RouteMode.CACHED);
-        assertEquals(2, asked.size());
-        assertEquals(2L, at(1).fill().routeVersion());
+    void aNewerVersionOfTheRouteStartsANewFill() {
+        send(RouteMode.CACHED);
+        send(RouteMode.CACHED);
+        assertEquals(1, forwards.size());
+        setLatencyTarget(RouteMode.CACHED, 100);
+        send(RouteMode.CACHED);
+        assertEquals(2, forwards.size());
+        assertEquals(2L, forward(1).request().routeVersion());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/FixedRouting.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/FixedRouting.java
@@ -6,12 +6,12 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.data.origin.OriginDispatcher;
 
-/** Routing for tests: the shields that are heard from and their silence are given, in one region, with a quorum. */
+/** Edge routing for tests with given reachable shields and silences, in a single region and with a quorum. */
 class FixedRouting implements EdgeRouting {
     private final Collection<NodeId> shields;
     private final Map<NodeId, Long> silenceMs;
 
-    /** Both are read at each call. */
+    /** Both collections are read at each call, so that tests can change them. */
     FixedRouting(final Collection<NodeId> shields, final Map<NodeId, Long> silenceMs) {
         this.shields = shields;
         this.silenceMs = silenceMs;
--- a/data/src/test/java/org/rowanvalve/data/edge/LeavingClientsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/LeavingClientsTest.java
@@ -15,7 +15,7 @@
 import org.rowanvalve.data.request.ClientRequest;
 import org.rowanvalve.data.request.ClientResponse;
 
-/** Clients that leave, wherever their request is at the edge, and shields whose response nobody waits for. */
+/** Clients that disconnect at each stage of their request, and the cancellation of forwards that are no longer needed. */
 class LeavingClientsTest extends EdgeFixture {
     private final class Client {
         private final Cancellation cancellation;
@@ -60,43 +60,44 @@
     }
 
     @Test
-    void aRepeatableRequestEndsAtOnceAndIsTakenBackFromItsShield() {
+    void aRepeatableRequestEndsImmediatelyAndIsCancelledAtItsShield() {
         final Client client = new Client(RouteMode.STATUS);
         client.leave();
         assertEquals(503, client.status());
-        assertEquals(List.of(at(0).fill().serial()), cancelled());
+        assertEquals(List.of(forward(0).request().serial()), cancelled());
         assertEquals("boot-1", cancels.get(0).incarnation());
-        assertEquals("boot-1", at(0).fill().incarnation());
+        assertEquals("boot-1", forward(0).request().incarnation());
         assertEquals(CancelCause.CLIENT_LEFT, cancels.get(0).cause());
         assertEquals(0, edge.openRequests());
-        assertEquals(0, edge.grantAttempts(at(0).to(), at(0).fill().serial()), "no further attempt is granted");
-        back(0, good("late"));
+        assertEquals(
+                0, edge.grantAttempts(forward(0).to(), forward(0).request().serial()), "no further attempt is granted");
+        respond(0, good("late"));
         loop.run(2000);
-        assertEquals(1, asked.size());
+        assertEquals(1, forwards.size());
         assertEquals(1, cancels.size());
     }
 
     @Test
-    void nothingIsSentForAClientThatLeftWhileItsRequestWasInTheQueue() {
+    void nothingIsSentForAClientThatLeftWhileItsRequestWasQueued() {
         final Client before = new Client(RouteMode.STATUS);
-        assertEquals(1, asked.size());
+        assertEquals(1, forwards.size());
         before.cancellation.announce(CancelCause.CLIENT_LEFT);
-        back(0, refused(500));
-        assertEquals(1, asked.size(), "announced in another thread, and not heard of yet");
+        respond(0, refused(500));
+        assertEquals(1, forwards.size(), "announced in another thread, and not yet delivered to the event loop");
         final Cancellation gone = new Cancellation();
         gone.announce(CancelCause.CLIENT_LEFT);
         edge.handle(
                 new ClientRequest(
                         "GET", "h", "/" + RouteMode.STATUS + "/1", null, null, null, "id", 1200, null, Map.of()),
                 gone,
-                said::add);
-        assertEquals(1, asked.size());
+                clientResponses::add);
+        assertEquals(1, forwards.size());
         assertEquals(503, status());
     }
 
-    /** The connection holds the close, and no thread has read it yet. */
+    /** The client has closed the connection, but no thread has read the close yet. */
     @Test
-    void nothingIsSentForAClientWhoseCloseIsFoundOnlyWhenItIsLookedFor() {
+    void nothingIsSentForAClientWhoseCloseIsFoundByPolling() {
         final boolean[] closed = {false};
         final Client[] client = {null};
         client[0] = new Client(RouteMode.STATUS, new Cancellation(() -> {
@@ -106,10 +107,10 @@
         }));
         assertEquals(List.of(1L), stillWaitedFor());
         closed[0] = true;
-        assertEquals(List.of(), stillWaitedFor(), "a shield that asks is told");
-        back(0, refused(500));
+        assertEquals(List.of(), stillWaitedFor(), "a shield that queries learns of the close");
+        respond(0, refused(500));
         loop.run(2000);
-        assertEquals(1, asked.size());
+        assertEquals(1, forwards.size());
     }
 
     private List<Long> stillWaitedFor() {
@@ -117,115 +118,118 @@
     }
 
     @Test
-    void aShieldIsToldWhichOfItsRequestsAreStillWaitedFor() {
+    void aShieldLearnsWhichOfItsRequestsAreStillOpen() {
         final Client leads = new Client(RouteMode.CACHED);
         final Client joins = new Client(RouteMode.CACHED);
         new Client(RouteMode.STATUS);
         assertEquals(List.of(1L, 2L), stillWaitedFor());
         leads.leave();
-        assertEquals(List.of(1L, 2L), stillWaitedFor(), "one who joined waits");
+        assertEquals(List.of(1L, 2L), stillWaitedFor(), "a client that joined the fill still waits");
         joins.leave();
         assertEquals(List.of(2L), stillWaitedFor());
-        assertEquals(List.of(), edge.openForwards(new OpenForwardsRequest("boot-0", List.of(2L))), "of another start");
-        back(1, good("body"));
+        assertEquals(
+                List.of(),
+                edge.openForwards(new OpenForwardsRequest("boot-0", List.of(2L))),
+                "a serial of another incarnation");
+        respond(1, good("body"));
         assertEquals(List.of(), stillWaitedFor());
     }
 
     @Test
-    void nothingIsSentForAClientThatLeftBetweenTwoTries() {
+    void nothingIsSentForAClientThatLeftBetweenTwoAttempts() {
         final Client client = new Client(RouteMode.CACHED);
-        back(0, refused(300));
+        respond(0, refused(300));
         client.leave();
         assertEquals(503, client.status());
         loop.run(2000);
-        assertEquals(1, asked.size());
-        assertEquals(List.of(), cancels, "no shield has it");
+        assertEquals(1, forwards.size());
+        assertEquals(List.of(), cancels, "no shield has the request");
     }
 
     @Test
-    void aFillGoesOnWhileOneWaitsForItAndIsTakenBackWhenAllHaveLeft() {
+    void aFillContinuesWhileOneClientWaitsAndIsCancelledWhenAllHaveLeft() {
         final Client leads = new Client(RouteMode.CACHED);
         final Client joins = new Client(RouteMode.CACHED);
         final Client stays = new Client(RouteMode.CACHED);
         leads.leave();
         joins.leave();
         assertEquals(List.of(), cancels);
-        back(0, good("body"));
+        respond(0, good("body"));
         assertEquals(200, stays.status());
         assertEquals("body", new String(stays.responses.get(0).body(), java.nio.charset.StandardCharsets.UTF_8));
         final Client alone = new Client(RouteMode.CACHED);
         final Client second = new Client(RouteMode.CACHED);
-        assertEquals(2, asked.size());
+        assertEquals(2, forwards.size());
         second.leave();
         alone.leave();
-        assertEquals(List.of(at(1).fill().serial()), cancelled());
+        assertEquals(List.of(forward(1).request().serial()), cancelled());
         assertEquals(503, alone.status());
         final Client later = new Client(RouteMode.CACHED);
-        assertEquals(3, asked.size(), "who comes then begins a fill of its own");
-        back(2, good("next"));
+        assertEquals(3, forwards.size(), "a later request starts a new fill");
+        respond(2, good("next"));
         assertEquals(200, later.status());
         assertEquals(0, edge.openRequests());
     }
 
     @Test
-    void aFillWhoseLeaderHasLeftIsTriedAgainForThoseWhoStay() {
+    void aFillWhoseLeaderHasLeftIsRetriedForTheRemainingClients() {
         final Client leads = new Client(RouteMode.CACHED);
         final Client stays = new Client(RouteMode.CACHED);
         leads.leave();
-        back(0, refused(300));
+        respond(0, refused(300));
         loop.run(100);
-        assertEquals(2, asked.size());
-        back(1, good("body"));
+        assertEquals(2, forwards.size());
+        respond(1, good("body"));
         assertEquals(200, stays.status());
     }
 
-    /** Only the shield knows whether it was sent. */
+    /** Only the shield knows whether the request was sent to an origin. */
     @Test
-    void aRequestThatMayRunOnceEndsWithWhatItsShieldSaysOfIt() {
+    void anAtMostOnceRequestEndsWithTheOutcomeReportedByItsShield() {
         for (final RouteMode mode : List.of(RouteMode.AT_MOST_ONCE, RouteMode.KEYED)) {
-            asked.clear();
+            forwards.clear();
             cancels.clear();
             final Client ran = new Client(mode);
             ran.leave();
-            assertEquals(List.of(), ran.responses, "nobody claims that it has not run");
-            assertEquals(List.of(at(0).fill().serial()), cancelled());
-            back(0, good("done"));
+            assertEquals(List.of(), ran.responses, "no response claims that the request has not run");
+            assertEquals(List.of(forward(0).request().serial()), cancelled());
+            respond(0, good("done"));
             assertEquals(200, ran.status());
             final Client unsent = new Client(mode);
             unsent.leave();
-            back(1, refused(500));
+            respond(1, refused(500));
             assertEquals(503, unsent.status());
             final Client unknown = new Client(mode);
             unknown.leave();
-            back(2, silent());
+            respond(2, silent());
             loop.run(2000);
             assertEquals(RequestOutcome.UNKNOWN, unknown.responses.get(0).fate());
-            assertEquals(3, asked.size(), "no other shield is asked");
+            assertEquals(3, forwards.size(), "no other shield is asked");
         }
     }
 
     @Test
-    void aShieldThatWasReplacedIsToldOnceTheOtherHasAnswered() {
+    void aReplacedShieldIsCancelledOnceTheOtherHasAnswered() {
         final Client client = new Client(RouteMode.STATUS);
-        silence.put(N1, 700L);
+        silenceMs.put(N1, 700L);
         loop.run(400);
-        assertEquals(2, asked.size(), "another shield while the first is silent");
+        assertEquals(2, forwards.size(), "another shield receives the request while the first is silent");
         assertEquals(List.of(), cancels);
-        back(1, good("body"));
+        respond(1, good("body"));
         assertEquals(200, client.status());
-        assertEquals(List.of(at(0).fill().serial()), cancelled());
+        assertEquals(List.of(forward(0).request().serial()), cancelled());
         assertEquals(CancelCause.ANSWERED, cancels.get(0).cause());
     }
 
     @Test
-    void aShieldThatDidNotAnswerInTimeIsTold() {
+    void aShieldThatDidNotAnswerInTimeIsCancelled() {
         new Client(RouteMode.STATUS);
-        back(0, silent());
-        assertTrue(cancelled().contains(at(0).fill().serial()));
+        respond(0, silent());
+        assertTrue(cancelled().contains(forward(0).request().serial()));
     }
 
     @Test
-    void aShieldOfAnEarlierReleaseIsNotTold() {
+    void aShieldOfAnEarlierReleaseReceivesNoCancellation() {
         takesCancels = false;
         final Client client = new Client(RouteMode.STATUS);
         client.leave();
--- a/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
@@ -52,7 +52,7 @@
 import org.rowanvalve.data.settings.NodeSettings;
 import org.rowanvalve.data.shield.Shield;
 
-/** An edge and three real shields: to how many origins one request goes, whatever happens to messages between them. */
+/** Checks the number of origins that one request reaches, with an edge, three real shields and message faults. */
 class RequestAttemptsTest {
     private static final int SHIELDS = 3;
     private static final int ORIGINS = 6;
@@ -64,14 +64,17 @@
     private final Map<NodeId, Long> silence = new HashMap<>();
     private final Map<String, List<String>> arrivals = new HashMap<>();
     private final Map<String, Integer> mayHaveRun = new HashMap<>();
-    private final List<ClientResponse> answers = new ArrayList<>();
+    private final List<ClientResponse> responses = new ArrayList<>();
     private Random random = new Random(0);
     private final Edge edge;
     private OriginTransport.ExchangeResult[] ends = {};
-    /** Parts of a hundred: messages that are not sent, whose answers are lost, that come late. */
+    /** Percentage of messages that are not sent. */
     private int unsent;
 
+    /** Percentage of responses that are lost. */
     private int lost;
+
+    /** Percentage of messages that are delivered late. */
     private int late;
 
     RequestAttemptsTest() {
@@ -80,7 +83,7 @@
         }
         edge = new Edge(
                 loop,
-                this::carry,
+                this::transmit,
                 configuration,
                 () -> true,
                 1,
@@ -95,8 +98,8 @@
             if (msg instanceof AttemptGrantRequest m) {
                 final Consumer<Reply> once = once(then);
                 loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
-                trouble(
-                        () -> answer(new AttemptGrantResponse(edge.grantAttempts(NodeId.of(name), m.serial())), once),
+                deliverWithFaults(
+                        () -> respond(new AttemptGrantResponse(edge.grantAttempts(NodeId.of(name), m.serial())), once),
                         () -> once.accept(Reply.failed(Reply.Failure.NOT_SENT)));
             }
         };
@@ -120,17 +123,17 @@
     }
 
     private static <T> Consumer<T> once(final Consumer<T> then) {
-        final boolean[] heard = {false};
+        final boolean[] called = {false};
         return x -> {
-            if (!heard[0]) {
-                heard[0] = true;
+            if (!called[0]) {
+                called[0] = true;
                 then.accept(x);
             }
         };
     }
 
-    /** Delivers now, late, or not at all. */
-    private void trouble(final Runnable deliver, final Runnable notSent) {
+    /** Delivers a message in time, late or not at all. */
+    private void deliverWithFaults(final Runnable deliver, final Runnable notSent) {
         final int roll = random.nextInt(100);
         if (roll < unsent) {
             loop.schedule(1, notSent);
@@ -139,7 +142,7 @@
         }
     }
 
-    private void answer(final Message msg, final Consumer<Reply> then) {
+    private void respond(final Message msg, final Consumer<Reply> then) {
         if (random.nextInt(100) >= lost) {
             loop.schedule(1, () -> then.accept(Reply.of(msg)));
         } else if (random.nextBoolean()) {
@@ -151,14 +154,14 @@
         if (msg instanceof CancelRequest cancel) {
             shield.cancel(NodeId.of("edge"), cancel);
         } else {
-            shield.handle(NodeId.of("edge"), (ForwardRequest) msg, m -> answer(m, then));
+            shield.handle(NodeId.of("edge"), (ForwardRequest) msg, m -> respond(m, then));
         }
     }
 
-    private void carry(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
+    private void transmit(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
         final Consumer<Reply> once = once(then);
         loop.schedule(wait, () -> once.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
-        trouble(
+        deliverWithFaults(
                 () -> deliver(shields.get(recipient), msg, once),
                 () -> once.accept(Reply.failed(Reply.Failure.NOT_SENT)));
     }
@@ -229,68 +232,68 @@
         }
     }
 
-    private void ask(final RouteMode mode, final String id) {
+    private void send(final RouteMode mode, final String id) {
         final String method = mode == RouteMode.AT_MOST_ONCE ? "POST" : "GET";
         edge.handle(
                 new ClientRequest(
                         method, "h", "/" + mode + "/" + id, null, new byte[0], null, id, 3000, null, Map.of()),
-                answers::add);
+                responses::add);
     }
 
-    private int sent(final String id) {
+    private int attemptCount(final String id) {
         return arrivals.getOrDefault(id, List.of()).size();
     }
 
-    /** What was seen: two attempts allowed, and each of two shields made two. */
+    /** Guards against attempts counted per shield: with two attempts allowed, two shields once made two attempts each. */
     @Test
-    void aShieldThatFallsSilentLeavesTheNextOneOnlyWhatItWasNotGiven() {
+    void afterAShieldFallsSilentTheNextOneGetsOnlyTheUnreservedAttempts() {
         configure(3);
         ends = new OriginTransport.ExchangeResult[] {OriginTransport.ExchangeResult.COMPLETE};
         silence.put(NodeId.of("n1"), 1000L);
-        ask(RouteMode.STATUS, "earns its shield extra attempts");
+        send(RouteMode.STATUS, "earns its shield extra attempts");
         loop.run(500);
         silence.clear();
-        answers.clear();
+        responses.clear();
         ends = new OriginTransport.ExchangeResult[0];
-        ask(RouteMode.STATUS, "a");
+        send(RouteMode.STATUS, "a");
         loop.run(100);
-        assertEquals(1, sent("a"));
+        assertEquals(1, attemptCount("a"));
         silence.put(NodeId.of("n1"), 1000L);
         loop.run(3000);
-        assertEquals(3, sent("a"), arrivals.toString());
-        assertEquals(1, answers.size());
+        assertEquals(3, attemptCount("a"), arrivals.toString());
+        assertEquals(1, responses.size());
     }
 
     @Test
-    void aShieldMakesFurtherAttemptsAsTheEdgeGrantsThem() {
+    void aShieldMakesOnlyTheFurtherAttemptsThatTheEdgeGrants() {
         configure(3);
-        ask(RouteMode.STATUS, "a");
+        send(RouteMode.STATUS, "a");
         loop.run(3500);
-        assertEquals(3, sent("a"), "one more after each silence");
+        assertEquals(3, attemptCount("a"), "one more attempt after each attempt without a response");
         ends = new OriginTransport.ExchangeResult[] {OriginTransport.ExchangeResult.NOT_EXECUTED};
-        ask(RouteMode.STATUS, "b");
+        send(RouteMode.STATUS, "b");
         loop.run(3500);
         assertEquals(3, arrivals.get("b").size());
-        ask(RouteMode.AT_MOST_ONCE, "c");
+        send(RouteMode.AT_MOST_ONCE, "c");
         loop.run(3500);
         assertEquals(3, arrivals.get("c").size());
-        assertEquals(RequestOutcome.REFUSED, answers.get(2).fate());
+        assertEquals(RequestOutcome.REFUSED, responses.get(2).fate());
     }
 
     @Test
-    void whereNothingIsLeftNoOtherShieldIsAsked() {
+    void withoutRemainingAttemptsNoOtherShieldIsUsed() {
         configure(1);
-        ask(RouteMode.STATUS, "a");
+        send(RouteMode.STATUS, "a");
         silence.put(NodeId.of("n1"), 1000L);
         loop.run(3500);
-        assertEquals(1, sent("a"));
-        assertEquals(504, answers.get(0).status());
+        assertEquals(1, attemptCount("a"));
+        assertEquals(504, responses.get(0).status());
     }
 
     @Test
-    void anotherNodeThanTheOneThatWasAskedIsGrantedNothing() {
+    void onlyTheShieldThatReceivedTheRequestIsGrantedAttempts() {
         configure(3);
-        ask(RouteMode.STATUS, "a");
+        send(RouteMode.STATUS, "a");
         final NodeId n1 = NodeId.of("n1");
         assertEquals(0, edge.grantAttempts(NodeId.of("n2"), 1));
         assertEquals(0, edge.grantAttempts(n1, 99));
@@ -298,26 +301,26 @@
         assertEquals(1, edge.grantAttempts(n1, 1));
         assertEquals(0, edge.grantAttempts(n1, 1));
         loop.run(3500);
-        assertEquals(0, edge.grantAttempts(n1, 1), "it has ended");
+        assertEquals(0, edge.grantAttempts(n1, 1), "the request has ended");
     }
 
-    /** Lost, late and unsent messages, shields that fall silent and come back, origins that end in every way. */
+    /** Runs with lost, late and unsent messages, shields that fall silent and recover, and all results of origins. */
     @Test
-    void noRequestReachesMoreOriginsThanItsRouteAllowsAndNoneThatMayRunOnceRunsTwice() {
+    void noRequestExceedsTheAttemptsOfItsRouteAndNoAtMostOnceRequestRunsTwice() {
         int reached = 0;
         int several = 0;
         for (int seed = 0; seed < 200; seed++) {
             final RequestAttemptsTest one = new RequestAttemptsTest();
             one.random = new Random(seed);
             final int tries = 1 + seed % 4;
-            one.play(tries);
+            one.runRandomRequests(tries);
             for (final Map.Entry<String, List<String>> entry : one.arrivals.entrySet()) {
                 final int sent = entry.getValue().size();
                 assertTrue(sent <= tries, "seed " + seed + ": " + entry.getKey() + " " + entry.getValue());
                 reached++;
                 several += sent > 1 ? 1 : 0;
             }
-            for (final Map.Entry<String, ClientResponse> entry : one.said.entrySet()) {
+            for (final Map.Entry<String, ClientResponse> entry : one.responsesByRequest.entrySet()) {
                 if (entry.getKey().startsWith(RouteMode.AT_MOST_ONCE.code())) {
                     final int ran = one.mayHaveRun.getOrDefault(entry.getKey(), 0);
                     assertTrue(ran <= 1, "seed " + seed + ": " + entry.getKey());
@@ -330,11 +333,11 @@
         assertTrue(reached > 2000 && several > 500, reached + " reached an origin, " + several + " several times");
     }
 
-    private final Map<String, ClientResponse> said = new TreeMap<>();
+    private final Map<String, ClientResponse> responsesByRequest = new TreeMap<>();
 
-    private void play(final int tries) {
+    private void runRandomRequests(final int tries) {
         configure(tries);
-        final OriginTransport.ExchangeResult[] all = {
+        final OriginTransport.ExchangeResult[] results = {
             OriginTransport.ExchangeResult.COMPLETE,
             OriginTransport.ExchangeResult.COMPLETE,
             OriginTransport.ExchangeResult.NOT_SENT,
@@ -345,7 +348,7 @@
         };
         ends = new OriginTransport.ExchangeResult[4];
         for (int i = 0; i < ends.length; i++) {
-            ends[i] = all[random.nextInt(all.length)];
+            ends[i] = results[random.nextInt(results.length)];
         }
         unsent = random.nextInt(30);
         lost = random.nextInt(40);
@@ -362,7 +365,7 @@
                             method, "h", "/" + mode + "/" + id, null, new byte[0], null, id, 3000, null, Map.of()),
                     response -> {
                         assertTrue(open.remove(id), "answered once: " + id);
-                        said.put(id, response);
+                        responsesByRequest.put(id, response);
                     });
             silence.put(NodeId.of("n" + (1 + random.nextInt(SHIELDS))), random.nextBoolean() ? 1000L : 0L);
             loop.run(random.nextInt(300));
