--- a/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
@@ -22,7 +22,8 @@
 import org.rowanvalve.server.process.Main;
 
 /**
- * The operators' command. Exit status: 0 done, 1 different, 2 usage or no connection, 3 rejected, 4 outcome unknown.
+ * The operators' command. Exit status: 0 success, 1 a difference or an unmet wait, 2 usage error or no connection,
+ * 3 rejected, 4 outcome unknown.
  */
 public final class ControlCommand {
     private static final String USAGE = """
@@ -38,13 +39,20 @@
           diff NODE NODE          what two nodes believe, where it differs (IP:PORT or node name)
           vouch NODE              the elector at --at takes its memory from NODE
         """;
+    /** A purge is repeated with the current version after a version conflict. */
+    private static final int MAX_PURGE_ATTEMPTS = 5;
+
+    private static final long REQUEST_TIMEOUT_SECONDS = 30;
+    private static final long POLL_INTERVAL_MS = 200;
+    private static final int MIN_READY_GRADE = 50;
+
     private final HttpClient http;
     private final String address;
     private final PrintStream out;
     private final PrintStream err;
     private final boolean json;
 
-    record ApiAnswer(int status, String text) {
+    record ApiResponse(int status, String text) {
         Map<?, ?> members() {
             return Json.read(text, Map.class);
         }
@@ -168,13 +176,13 @@
         return 2;
     }
 
-    private ApiAnswer request(
+    private ApiResponse request(
             final String method, final String path, final byte[] body, final long version, final String operationId)
             throws InterruptedException, ExecutionException, TimeoutException {
         return request(address, method, path, body, version, operationId);
     }
 
-    private ApiAnswer request(
+    private ApiResponse request(
             final String address,
             final String method,
             final String path,
@@ -184,7 +192,7 @@
             throws InterruptedException, ExecutionException, TimeoutException {
         final Request request = http.newRequest("http://" + address + "/v1/" + path)
                 .method(method)
-                .timeout(30, TimeUnit.SECONDS);
+                .timeout(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         request.headers(headers -> {
             if (version >= 0) {
                 headers.put("If-Match", "\"" + version + "\"");
@@ -196,17 +204,17 @@
         if (body != null) {
             request.body(new BytesRequestContent("application/json", body));
         }
-        final ContentResponse answer = request.send();
-        return new ApiAnswer(answer.getStatus(), new String(answer.getContent(), StandardCharsets.UTF_8));
+        final ContentResponse response = request.send();
+        return new ApiResponse(response.getStatus(), new String(response.getContent(), StandardCharsets.UTF_8));
     }
 
-    private int printResponse(final ApiAnswer answer) {
+    private int printResponse(final ApiResponse response) {
         if (json) {
-            out.println(answer.text().trim());
+            out.println(response.text().trim());
         } else {
-            printLines("", answer.members());
+            printLines("", response.members());
         }
-        return answer.status() < 300 ? 0 : answer.status() == 504 ? 4 : 3;
+        return response.status() < 300 ? 0 : response.status() == 504 ? 4 : 3;
     }
 
     private void printLines(final String address, final Object value) {
@@ -222,19 +230,26 @@
     }
 
     private int purge(final String route, final String path, final String operationId) throws Exception {
-        final boolean wide = path.endsWith("*");
+        final boolean byPrefix = path.endsWith("*");
         final String name = route + "-"
                 + org.rowanvalve.common.model.Hash.sha256Hex(path.getBytes(StandardCharsets.UTF_8))
                         .substring(0, 16);
         final byte[] body = Json.write(Map.of(
-                        "route", route, wide ? "prefix" : "path", wide ? path.substring(0, path.length() - 1) : path))
+                        "route",
+                        route,
+                        byPrefix ? "prefix" : "path",
+                        byPrefix ? path.substring(0, path.length() - 1) : path))
                 .getBytes(StandardCharsets.UTF_8);
-        ApiAnswer answer = new ApiAnswer(409, "{\"version\":0}");
-        for (int i = 0; i < 5 && answer.status() == 409; i++) {
-            answer = request(
-                    "PUT", "purges/" + name, body, ((Number) answer.members().get("version")).longValue(), operationId);
+        ApiResponse response = new ApiResponse(409, "{\"version\":0}");
+        for (int i = 0; i < MAX_PURGE_ATTEMPTS && response.status() == 409; i++) {
+            response = request(
+                    "PUT",
+                    "purges/" + name,
+                    body,
+                    ((Number) response.members().get("version")).longValue(),
+                    operationId);
         }
-        return printResponse(answer);
+        return printResponse(response);
     }
 
     private int awaitReady(final long seconds) throws InterruptedException {
@@ -242,16 +257,17 @@
         String last = "no answer";
         while (System.nanoTime() < end) {
             try {
-                final ApiAnswer answer = request("GET", "ready", null, -1, null);
-                last = answer.text().trim();
-                if (answer.status() == 200 && ((Number) answer.members().get("grade")).intValue() >= 50) {
+                final ApiResponse response = request("GET", "ready", null, -1, null);
+                last = response.text().trim();
+                if (response.status() == 200
+                        && ((Number) response.members().get("grade")).intValue() >= MIN_READY_GRADE) {
                     out.println(last);
                     return 0;
                 }
             } catch (final ExecutionException | TimeoutException e) {
                 last = String.valueOf(e.getMessage());
             }
-            TimeUnit.MILLISECONDS.sleep(200);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         err.println("rwctl: not ready: " + last);
         return 1;
@@ -261,33 +277,33 @@
         final long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         String last = "";
         while (System.nanoTime() < end) {
-            final ApiAnswer answer = request("GET", path, null, -1, null);
-            final String now = "version " + answer.members().get("version") + " "
-                    + answer.members().get("state");
+            final ApiResponse response = request("GET", path, null, -1, null);
+            final String now = "version " + response.members().get("version") + " "
+                    + response.members().get("state");
             if (!now.equals(last)) {
-                out.println(json ? answer.text().trim() : now);
+                out.println(json ? response.text().trim() : now);
                 last = now;
             }
-            if ("in force".equals(answer.members().get("state"))) {
+            if ("in force".equals(response.members().get("state"))) {
                 return 0;
             }
-            TimeUnit.MILLISECONDS.sleep(200);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return 1;
     }
 
-    private ApiAnswer nodeState(final String node) throws Exception {
+    private ApiResponse nodeState(final String node) throws Exception {
         return node.contains(":")
                 ? request(node, "GET", "state", null, -1, null)
                 : request("GET", "state/" + node, null, -1, null);
     }
 
     private int printDifferences(final String left, final String right) throws Exception {
-        final ApiAnswer leftState = nodeState(left);
-        final ApiAnswer rightState = nodeState(right);
-        for (final ApiAnswer answer : List.of(leftState, rightState)) {
-            if (answer.status() != 200) {
-                err.println("rwctl: could not ask: " + answer.members().get("reason"));
+        final ApiResponse leftState = nodeState(left);
+        final ApiResponse rightState = nodeState(right);
+        for (final ApiResponse response : List.of(leftState, rightState)) {
+            if (response.status() != 200) {
+                err.println("rwctl: could not ask: " + response.members().get("reason"));
                 return 2;
             }
         }
@@ -295,7 +311,7 @@
         if (json) {
             out.println(Json.write(differences));
         } else {
-            differences.forEach(request -> out.println(request.line()));
+            differences.forEach(difference -> out.println(difference.line()));
         }
         return differences.isEmpty() ? 0 : 1;
     }
--- a/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/NodeDiff.java
@@ -8,9 +8,9 @@
 import java.util.TreeSet;
 import org.rowanvalve.common.model.FencingToken;
 
-/** Where the states of two nodes differ, which is newer, and whether that is lag or contradiction. */
+/** Compares the states of two nodes: each difference, the node with the newer state, and whether it is lag or a contradiction. */
 public final class NodeDiff {
-    /** One difference between what two nodes hold. */
+    /** A difference between the states of two nodes. */
     public record Difference(String what, String left, String right, String newer, String kind) {
         public String line() {
             return what + ": " + left + " | " + right + "  (" + kind + (newer.isEmpty() ? "" : ", newer: " + newer)
@@ -45,7 +45,7 @@
     }
 
     private static Map<?, ?> section(final Map<?, ?> state, final String name) {
-        return state.get(name) instanceof Map<?, ?> leftNumber ? leftNumber : Map.of();
+        return state.get(name) instanceof Map<?, ?> section ? section : Map.of();
     }
 
     private Set<String> namesIn(final String name) {
@@ -83,8 +83,8 @@
     }
 
     private void compare(final String what, final Object leftValue, final Object rightValue) {
-        final long leftNumber = leftValue instanceof Number name ? name.longValue() : 0;
-        final long rightNumber = rightValue instanceof Number name ? name.longValue() : 0;
+        final long leftNumber = leftValue instanceof Number number ? number.longValue() : 0;
+        final long rightNumber = rightValue instanceof Number number ? number.longValue() : 0;
         if (leftNumber != rightNumber) {
             rows.add(new Difference(
                     what,
--- a/server/src/main/java/org/rowanvalve/server/log/DeferredLogManager.java
+++ b/server/src/main/java/org/rowanvalve/server/log/DeferredLogManager.java
@@ -4,16 +4,16 @@
 
 /** Keeps the log handlers open until a graceful shutdown has logged its last entry. */
 public final class DeferredLogManager extends LogManager {
-    private static volatile boolean over;
+    private static volatile boolean released;
 
     @Override
     public void reset() {
-        if (over) {
+        if (released) {
             super.reset();
         }
     }
 
     public static void release() {
-        over = true;
+        released = true;
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/log/EventLog.java
+++ b/server/src/main/java/org/rowanvalve/server/log/EventLog.java
@@ -15,12 +15,13 @@
 import org.rowanvalve.server.thread.ThreadGuard;
 
 /**
- * Writes the log in a thread of its own: events arrive through a ring buffer and leave as JSON lines on standard output
- * or through the logger.
+ * Writes events to the log in a separate thread. Events are queued in a ring buffer and written as JSON lines to standard
+ * output or as text through the logger.
  */
 public final class EventLog {
+    private static final int RING_CAPACITY = 16_384;
     private static final Logger LOG = Logger.getLogger("rowanvalve");
-    /** Too many for a text log: one for each write or request. */
+    /** Events logged at debug level in a text log, because each write or request causes one. */
     private static final Set<EventCode> FREQUENT = EnumSet.of(
             EventCode.LEARNED,
             EventCode.ORIGIN_SEND,
@@ -30,14 +31,14 @@
             EventCode.WORK_ENDED,
             EventCode.CANCELLED);
 
-    private final ArrayBlockingQueue<Line> ring = new ArrayBlockingQueue<>(16_384);
-    private final AtomicLong shed = new AtomicLong();
+    private final ArrayBlockingQueue<Line> ring = new ArrayBlockingQueue<>(RING_CAPACITY);
+    private final AtomicLong dropped = new AtomicLong();
     private final PrintStream out;
     private final String node;
     private final boolean json;
     private final Thread thread = new Thread(this::run, "log");
 
-    private record Line(long wall, EventJournal.Entry entry) {}
+    private record Line(long wallMillis, EventJournal.Entry entry) {}
 
     public EventLog(final String node, final boolean json, final PrintStream out) {
         this.node = node;
@@ -45,13 +46,13 @@
         this.out = out;
     }
 
-    /** Begins to log the events of this journal. */
+    /** Starts logging the events of this journal. */
     public void start(final EventJournal journal) {
         thread.setDaemon(true);
         thread.start();
         journal.subscribe(entry -> {
             if (!ring.offer(new Line(System.currentTimeMillis(), entry))) {
-                shed.incrementAndGet();
+                dropped.incrementAndGet();
             }
         });
     }
@@ -67,37 +68,37 @@
         }
     }
 
-    /** Writes what is still waiting, in the calling thread. */
+    /** Writes the queued events in the calling thread. */
     public void flush() {
-        for (Line l = ring.poll(); l != null; l = ring.poll()) {
-            write(l);
+        for (Line line = ring.poll(); line != null; line = ring.poll()) {
+            write(line);
         }
         out.flush();
     }
 
-    private void write(final Line l) {
-        final EventCode code = l.entry().event().code();
+    private void write(final Line line) {
+        final EventCode code = line.entry().event().code();
         if (json) {
             final Map<String, Object> map = new LinkedHashMap<>();
-            map.put("t", l.wall());
+            map.put("t", line.wallMillis());
             map.put("node", node);
             map.put("code", code.id());
             map.put("name", code.name());
-            l.entry().event().facts().forEach((k, v) -> map.put(map.containsKey(k) ? "peer" : k, v));
+            line.entry().event().facts().forEach((k, v) -> map.put(map.containsKey(k) ? "peer" : k, v));
             final byte[] data = (Json.write(map) + "\n").getBytes(StandardCharsets.UTF_8);
             out.write(data, 0, data.length);
             if (ring.isEmpty()) {
                 out.flush();
             }
         } else if (FREQUENT.contains(code)) {
-            LOG.debug(l.entry().event().format());
+            LOG.debug(line.entry().event().format());
         } else {
-            LOG.info(l.entry().event().format());
+            LOG.info(line.entry().event().format());
         }
     }
 
-    /** How many events were dropped because the ring buffer was full. */
+    /** Returns how many events were dropped because the ring buffer was full. */
     public long shed() {
-        return shed.get();
+        return dropped.get();
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
+++ b/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
@@ -9,28 +9,29 @@
 import java.util.logging.Logger;
 
 /**
- * One line for each entry: time, level, text. The formatter of the library walks the stack of each caller for its name.
+ * Formats each entry as one line: time, level, text. The JDK's formatter is not used, because it walks the stack for the
+ * caller's name at each entry.
  */
 public final class LogLineFormatter extends Formatter {
     public static void use() {
-        final LogLineFormatter line = new LogLineFormatter();
-        for (final Handler h : Logger.getLogger("").getHandlers()) {
-            h.setFormatter(line);
+        final LogLineFormatter formatter = new LogLineFormatter();
+        for (final Handler handler : Logger.getLogger("").getHandlers()) {
+            handler.setFormatter(formatter);
         }
     }
 
     @Override
-    public String format(final LogRecord r) {
+    public String format(final LogRecord entry) {
         final StringBuilder builder = new StringBuilder(120)
-                .append(Instant.ofEpochMilli(r.getMillis()))
+                .append(Instant.ofEpochMilli(entry.getMillis()))
                 .append(' ')
-                .append(r.getLevel().getName())
+                .append(entry.getLevel().getName())
                 .append(' ')
-                .append(formatMessage(r))
+                .append(formatMessage(entry))
                 .append('\n');
-        if (r.getThrown() != null) {
+        if (entry.getThrown() != null) {
             final StringWriter writer = new StringWriter();
-            r.getThrown().printStackTrace(new PrintWriter(writer));
+            entry.getThrown().printStackTrace(new PrintWriter(writer));
             builder.append(writer);
         }
         return builder.toString();
--- a/server/src/main/java/org/rowanvalve/server/options/OptionChange.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionChange.java
@@ -6,25 +6,29 @@
 import java.util.function.Function;
 
 /**
- * What differs between two readings of a process's options.
+ * The options that differ between two readings of a process's options.
  *
- * @param applied the options that a running process goes over to
- * @param needsStart the options that hold from its next start only
+ * @param applied the changed options that a running process applies
+ * @param needsStart the changed options that take effect at the next start
  */
 public record OptionChange(List<String> applied, List<String> needsStart) {
     private record Rule(String name, boolean reloadable, Function<Options, Object> read) {}
 
-    /** {@code first} is for the start alone and so stands in neither list. */
+    /**
+     * The compared options. {@code first} is only used at a start, {@code losses} only in validation, and {@code
+     * seed-port} is compared as a part of {@code seeds}.
+     */
     private static final List<Rule> RULES = List.of(
-            live("seeds", Options::seeds),
-            live("reach", Options::fixedRoutes),
-            live("wanted-losses", Options::toleratedLosses),
-            live("extra-ratio", Options::retryRatio),
-            live("extra-slack", Options::retrySlack),
-            live("purge-ms, apply-ms, drain-ms", options -> options.timings().maxViewAgeMs()),
-            live("stop-ms, grace-s", Options::stopTimeoutMs),
-            live("notice-ms", Options::drainNoticeMs),
-            live("cells, spread", options -> List.of(options.locations(), options.regions())),
+            reloadable("seeds", Options::seeds),
+            reloadable("reach", Options::fixedRoutes),
+            reloadable("wanted-losses", Options::toleratedLosses),
+            reloadable("extra-ratio", Options::retryRatio),
+            reloadable("extra-slack", Options::retrySlack),
+            reloadable(
+                    "purge-ms, apply-ms, drain-ms", options -> options.timings().maxViewAgeMs()),
+            reloadable("stop-ms, grace-s", Options::stopTimeoutMs),
+            reloadable("notice-ms", Options::drainNoticeMs),
+            reloadable("cells, spread", options -> List.of(options.locations(), options.regions())),
             fixed("id", Options::id),
             fixed("cell", Options::location),
             fixed("wire", Options::peerAddress),
@@ -44,7 +48,7 @@
             fixed("descriptors", Options::descriptors),
             fixed("log", Options::jsonLog));
 
-    private static Rule live(final String name, final Function<Options, Object> value) {
+    private static Rule reloadable(final String name, final Function<Options, Object> value) {
         return new Rule(name, true, value);
     }
 
@@ -52,7 +56,7 @@
         return new Rule(name, false, value);
     }
 
-    /** The names of all options that are compared. */
+    /** Returns the names of all compared options. */
     public static List<String> names() {
         return RULES.stream()
                 .flatMap(rule -> List.of(rule.name().split(", ")).stream())
@@ -61,13 +65,13 @@
 
     /** Compares two readings option by option. */
     public static OptionChange between(final Options before, final Options after) {
-        final List<String> taken = new ArrayList<>();
+        final List<String> applied = new ArrayList<>();
         final List<String> needsStart = new ArrayList<>();
         for (final Rule rule : RULES) {
             if (!Objects.equals(rule.read().apply(before), rule.read().apply(after))) {
-                (rule.reloadable() ? taken : needsStart).add(rule.name());
+                (rule.reloadable() ? applied : needsStart).add(rule.name());
             }
         }
-        return new OptionChange(taken, needsStart);
+        return new OptionChange(applied, needsStart);
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/options/OptionFlags.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionFlags.java
@@ -9,7 +9,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 
-/** The options of the command line with their help, and how their texts become values. */
+/** The command-line options with their help texts and the conversion of their arguments to values. */
 public final class OptionFlags {
     /** The flag that names the file with the other options. */
     static final String FILE = "options";
@@ -17,7 +17,8 @@
     private static final String NUMBER = "-?[0-9]{1,15}([.][0-9]{1,6})?";
 
     /**
-     * The value of a flag's text; a text of the wrong type stays a text, which {@link OptionValidator} then rejects.
+     * The type of a flag, which converts its argument. An argument of the wrong type stays a string, which {@link
+     * OptionValidator} rejects.
      */
     private enum Kind {
         TEXT(text -> text),
@@ -103,11 +104,11 @@
         return parser;
     }
 
-    /** Adds the values of the flags that were given, over those already there. */
-    static void values(final OptionSet given, final Map<String, Object> all) {
+    /** Adds the values of the given flags, replacing values from the file. */
+    static void putValues(final OptionSet given, final Map<String, Object> members) {
         for (final String name : names()) {
             if (given.has(name)) {
-                all.put(name, BY_NAME.get(name).kind().value.apply((String) given.valueOf(name)));
+                members.put(name, BY_NAME.get(name).kind().value.apply((String) given.valueOf(name)));
             }
         }
     }
--- a/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
@@ -15,7 +15,7 @@
 import org.rowanvalve.control.record.RecordRetention;
 import org.rowanvalve.control.voting.Quorum;
 
-/** Checks the members of the options' file and the flags as a whole; all errors are found before any is reported. */
+/** Validates the members of the option file together with the flags and collects all errors before any is reported. */
 final class OptionValidator {
     private static final long MAX_MS = 600_000;
     private static final long MIN_UPDATE_BYTES = 64 << 10;
@@ -30,11 +30,10 @@
     private static final double DEFAULT_RETRY_RATIO = 0.2;
     private static final double DEFAULT_RETRY_SLACK = 60;
     private static final long DEFAULT_STOP_MS = 8000;
-    /** How much earlier than the kill a shutdown has to be over. */
+    /** Time between the end of a graceful shutdown and the kill. */
     private static final long STOP_MARGIN_MS = 1500;
 
     private static final long MIN_STOP_MS = 500;
-    /** The upper bound of the view's age. */
     private static final long MAX_VIEW_AGE_MS = 1500;
 
     private final Role role;
@@ -43,7 +42,7 @@
     private final JsonObjectReader object;
     private final AddressParser addresses;
 
-    /** The founding voters: their names, which of them are stores, and how many losses they tolerate. */
+    /** The founding voters: their names, which of them are stores, and how many losses they should tolerate. */
     private record Voters(Map<NodeId, InetSocketAddress> founders, List<NodeId> stores, int toleratedLosses) {
         int maxLosses() {
             return founders.size() - founders.size() / 2 - 1;
@@ -62,12 +61,12 @@
         this.addresses = new AddressParser(object);
     }
 
-    /** Null where anything is wrong; the errors then say what. */
+    /** Returns the options, or null if there are errors. */
     Options validate() {
-        final InetSocketAddress peerAddress = addresses.own("wire", object.text("wire", true, ""));
+        final InetSocketAddress peerAddress = addresses.listenAddress("wire", object.text("wire", true, ""));
         final String id = id(peerAddress);
         final String location = object.text("cell", false, "cell");
-        final InetSocketAddress controlAddress = addresses.own("http", object.text("http", true, ""));
+        final InetSocketAddress controlAddress = addresses.listenAddress("http", object.text("http", true, ""));
         final InetSocketAddress door = clientAddress();
         final List<String> storeNames = list("stores");
         final boolean allHaveDisks = storeNames.equals(List.of("none"));
@@ -145,8 +144,8 @@
     }
 
     private String id(final InetSocketAddress peerAddress) {
-        final String byAddress = peerAddress == null ? "" : AddressParser.nodeName(peerAddress.getHostString());
-        final String id = object.text("id", peerAddress == null, byAddress);
+        final String defaultName = peerAddress == null ? "" : AddressParser.nodeName(peerAddress.getHostString());
+        final String id = object.text("id", peerAddress == null, defaultName);
         if (!id.isEmpty() && !id.matches(AddressParser.NODE_NAME)) {
             object.addError("id", "small letters, digits and dashes, at most 41");
         }
@@ -155,14 +154,14 @@
 
     private InetSocketAddress clientAddress() {
         final String text = object.text("door", role == Role.EDGE, "");
-        return role == Role.EDGE ? addresses.own("door", text) : null;
+        return role == Role.EDGE ? addresses.listenAddress("door", text) : null;
     }
 
     private Map<NodeId, InetSocketAddress> seeds(final boolean allHaveDisks) {
         final int wirePort = (int) object.wholeNumber("seed-port", false, 0, 0, 65_535);
         final Map<NodeId, InetSocketAddress> seeds = addresses.seeds("seeds", list("seeds"), wirePort);
-        final boolean fewerWillDo = allHaveDisks && !seeds.isEmpty() && seeds.size() < SEED_COUNT;
-        if (seeds.size() != SEED_COUNT && !fewerWillDo) {
+        final boolean fewerAllowed = allHaveDisks && !seeds.isEmpty() && seeds.size() < SEED_COUNT;
+        if (seeds.size() != SEED_COUNT && !fewerAllowed) {
             object.addError("seeds", "three are wanted, " + seeds.size() + " given");
         }
         return seeds;
@@ -225,22 +224,23 @@
         }
     }
 
-    /** Three quarters of the shortest of the times within which all healthy nodes must go by something new. */
+    /** Three quarters of the shortest of the times within which a change must be in force on all healthy nodes. */
     private long maxViewAgeMs() {
-        final long least = List.of("purge-ms", "apply-ms", "drain-ms").stream()
+        final long shortestMs = List.of("purge-ms", "apply-ms", "drain-ms").stream()
                 .mapToLong(name -> object.wholeNumber(name, false, 2000, 400, MAX_MS))
                 .min()
                 .orElse(2000);
-        return Math.min(MAX_VIEW_AGE_MS, least * 3 / 4);
+        return Math.min(MAX_VIEW_AGE_MS, shortestMs * 3 / 4);
     }
 
     private long stopMs() {
-        final long grace = object.wholeNumber("grace-s", false, 0, 0, 600);
-        final long byGrace = grace > 0 ? Math.max(MIN_STOP_MS, grace * 1000 - STOP_MARGIN_MS) : DEFAULT_STOP_MS;
-        return object.wholeNumber("stop-ms", false, byGrace, 0, MAX_MS);
+        final long graceSeconds = object.wholeNumber("grace-s", false, 0, 0, 600);
+        final long defaultStopMs =
+                graceSeconds > 0 ? Math.max(MIN_STOP_MS, graceSeconds * 1000 - STOP_MARGIN_MS) : DEFAULT_STOP_MS;
+        return object.wholeNumber("stop-ms", false, defaultStopMs, 0, MAX_MS);
     }
 
-    /** What objects are filled for apart: zones, or the regions that cells begin with. */
+    /** The areas that fill objects separately: zones, or the regions that prefix the names of cells. */
     private List<String> regions(final List<String> locations) {
         final String spread = object.text("spread", false, "region");
         if (!Set.of("region", "zone", "none").contains(spread)) {
--- a/server/src/main/java/org/rowanvalve/server/options/Options.java
+++ b/server/src/main/java/org/rowanvalve/server/options/Options.java
@@ -21,8 +21,8 @@
 import org.rowanvalve.data.settings.ReloadableSettings;
 
 /**
- * The options of a process: from a JSON file and from flags, flags first. {@link OptionFlags} lists the flags, {@link
- * OptionValidator} checks the whole; {@code docs/CONFIG.md} says what each means.
+ * The options of a process, from a JSON file and from flags; flags take precedence. {@link OptionFlags} lists the flags, {@link
+ * OptionValidator} validates them; {@code docs/CONFIG.md} describes each.
  */
 public record Options(
         NodeId id,
@@ -54,15 +54,15 @@
         long keyWindowMs,
         UpdateLimits updateLimits) {
     /**
-     * File descriptors that are left to files, and to sockets other than those of clients: to peers, origins, own
-     * addresses.
+     * File descriptors reserved for files and for sockets other than those of clients: to peers and origins, and listening
+     * sockets.
      */
     private static final int FILE_DESCRIPTORS = 200;
 
     private static final int PEER_DESCRIPTORS = 36;
     private static final int MIN_CLIENT_CONNECTIONS = 8;
 
-    /** Null where there are errors. */
+    /** Reads the options; returns null if there are errors. */
     public static Options read(final Role role, final String[] args, final List<ValidationError> errors) {
         final OptionSet given = parse(args, errors);
         if (given == null) {
@@ -74,11 +74,11 @@
         if (given.has(OptionFlags.FILE)) {
             read(Path.of((String) given.valueOf(OptionFlags.FILE)), members, errors);
         }
-        OptionFlags.values(given, members);
+        OptionFlags.putValues(given, members);
         return new OptionValidator(role, members, errors).validate();
     }
 
-    /** The file that the command line names; null where it names none. */
+    /** Returns the option file named on the command line, or null. */
     static Path file(final String... args) {
         final OptionSet given = parse(args, new ArrayList<>());
         return given != null && given.has(OptionFlags.FILE) ? Path.of((String) given.valueOf(OptionFlags.FILE)) : null;
@@ -93,14 +93,14 @@
         }
     }
 
-    private static void read(final Path file, final Map<String, Object> all, final List<ValidationError> errors) {
+    private static void read(final Path file, final Map<String, Object> members, final List<ValidationError> errors) {
         try {
-            final List<ValidationError> inFile = new ArrayList<>();
-            final Object value = JsonReader.read(Files.readAllBytes(file), inFile);
-            inFile.forEach(error -> errors.add(new ValidationError(file + error.path(), error.message())));
-            if (value instanceof Map<?, ?> members) {
-                members.forEach((name, member) -> all.put(String.valueOf(name), member));
-            } else if (inFile.isEmpty()) {
+            final List<ValidationError> fileErrors = new ArrayList<>();
+            final Object value = JsonReader.read(Files.readAllBytes(file), fileErrors);
+            fileErrors.forEach(error -> errors.add(new ValidationError(file + error.path(), error.message())));
+            if (value instanceof Map<?, ?> object) {
+                object.forEach((name, member) -> members.put(String.valueOf(name), member));
+            } else if (fileErrors.isEmpty()) {
                 errors.add(new ValidationError(file.toString(), "an object is wanted here"));
             }
         } catch (final IOException e) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The same options once the voters are known. */
+    /** Returns a copy of these options with the given voters. */
     public Options withFounders(final Map<NodeId, InetSocketAddress> founders) {
         return new Options(
                 id,
@@ -141,14 +141,14 @@
                 updateLimits);
     }
 
-    /** How many connections of clients may be open at once. */
+    /** Returns how many client connections may be open at once. */
     public int maxClientConnections() {
         return descriptors == 0
                 ? Integer.MAX_VALUE
                 : Math.max(MIN_CLIENT_CONNECTIONS, descriptors - FILE_DESCRIPTORS - PEER_DESCRIPTORS);
     }
 
-    /** What a running node, whose lease times are {@code runningTimings}, takes over when they change. */
+    /** Returns the settings that a running node applies on reload; it keeps the lease times of {@code runningTimings}. */
     public ReloadableSettings reloadable(final LeaseTimings runningTimings) {
         return new ReloadableSettings(
                 new LeaseTimings(runningTimings.leaseMs(), runningTimings.marginMs(), timings.maxViewAgeMs()),
@@ -172,7 +172,7 @@
                 .toList();
     }
 
-    /** The cell whose zone has this name; the name itself where there is none. */
+    /** Returns the location of the zone with this name, or the name itself if there is none. */
     public String locationOfZone(final String zone) {
         return locations.stream()
                 .filter(location -> location.endsWith("/" + zone))
--- a/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
+++ b/server/src/main/java/org/rowanvalve/server/process/HangupSignal.java
@@ -5,22 +5,22 @@
 import sun.misc.Signal;
 
 /**
- * SIGHUP makes a process read its options again. Without a handler the JVM ends on it, so each program calls {@link
- * #install} before anything else; a signal that arrives before anybody waits for it is kept.
+ * Handles SIGHUP, which makes a process reload its options. The JVM terminates on an unhandled SIGHUP, so each program
+ * calls {@link #install} before anything else. A signal that arrives while no thread waits for one is remembered.
  */
 public final class HangupSignal {
     private static final Semaphore RECEIVED = new Semaphore(0);
 
     private HangupSignal() {}
 
-    /** Handles SIGHUP from now on; without it the JVM would end. */
+    /** Installs the signal handler. */
     public static void install() {
         Signal.handle(new Signal("HUP"), signal -> RECEIVED.release());
     }
 
-    /** Waits for the next one; true when one came, and then all that came so far count as one. */
-    static boolean await(final long ms) throws InterruptedException {
-        if (!RECEIVED.tryAcquire(ms, TimeUnit.MILLISECONDS)) {
+    /** Waits for a signal and returns whether one arrived. All signals that have arrived so far count as one. */
+    static boolean await(final long timeoutMs) throws InterruptedException {
+        if (!RECEIVED.tryAcquire(timeoutMs, TimeUnit.MILLISECONDS)) {
             return false;
         }
         RECEIVED.drainPermits();
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -36,13 +36,13 @@
 import org.rowanvalve.server.thread.CoreEventLoop;
 
 /**
- * Warms up a starting process: two shields and one edge inside this process, with a clock, a transport and an origin of
- * their own, run requests through the code that clients' requests will use. Nothing of it leaves the process, and it
- * ends in time.
+ * Warms up a starting process. Two shields and one edge inside this process, with their own clock, transport and origin,
+ * run requests through the code that serves clients' requests. The warm-up sends nothing to other processes, and its
+ * duration is limited.
  */
 final class InProcessWarmup {
     private static final NodeId SHIELD = NodeId.of("rehearsal-shield");
-    private static final NodeId SECOND = NodeId.of("rehearsal-second");
+    private static final NodeId SECOND_SHIELD = NodeId.of("rehearsal-second");
     private static final NodeId EDGE = NodeId.of("rehearsal-edge");
     private static final String HOST = "rehearsal.invalid";
     private static final String CONFIG = """
@@ -51,12 +51,15 @@
         "i":{"host":"rehearsal.invalid","prefix":"/i/","service":"s","mode":"status","timeoutMs":1000,"aimMs":100,"tries":2,"any":true,"version":1},
         "k":{"host":"rehearsal.invalid","prefix":"/k/","service":"s","mode":"once","timeoutMs":1000,"aimMs":100,"tries":2,"any":true,"version":1}}},"drop":{}}
         """;
-    /** By its own clock a warm-up is set up after about 3 s; one that is not by then never will be. */
+    /** Limit of the setup by the warm-up's own clock. A setup takes about 3 s; one that exceeds the limit never completes. */
     private static final long MAX_SETUP_MS = 20_000;
 
-    /** Time-out of a warm-up request, for its route and its client; on a busy machine the first ones take long. */
+    /** Timeout of a warm-up request, for its route and its client. The first requests are slow on a busy machine. */
     private static final long REQUEST_TIMEOUT_MILLIS = 1000;
 
+    /** Size in bytes of the response body of an origin in a warm-up. */
+    static final int RESPONSE_BYTES = 6000;
+
     private final CountDownLatch finished = new CountDownLatch(1);
     private final CoreEventLoop loop = CoreEventLoop.skippingIdleTime(MAX_SETUP_MS, finished::countDown);
     private volatile boolean settled;
@@ -65,18 +68,18 @@
     private final OriginTransport originTransport;
     private final long deadlineNanos;
     private final Node shield;
-    private final Node second;
+    private final Node secondShield;
     private final Node edge;
     private int completed;
 
-    /** {@code sent}: sends a request to the edge of the warm-up. */
+    /** Sends a request to the warm-up's edge and runs the callback when the response has arrived. */
     @FunctionalInterface
-    interface Caller {
-        void call(ClientRequest request, Runnable then) throws IOException;
+    interface RequestSender {
+        void send(ClientRequest request, Runnable onResponse) throws IOException;
     }
 
     /**
-     * {@code originTransports} gives the transport to the origin, or null where that is in this process's memory only.
+     * Creates a warm-up. {@code originTransports} returns the transport to the origin, or null for an in-memory origin.
      */
     InProcessWarmup(
             final Options options,
@@ -89,7 +92,7 @@
         this.originTransport = transport == null ? new InMemoryOrigin() : transport;
         this.deadlineNanos = System.nanoTime() + maxMs * 1_000_000;
         shield = node(SHIELD, Role.SHIELD);
-        second = node(SECOND, Role.SHIELD);
+        secondShield = node(SECOND_SHIELD, Role.SHIELD);
         edge = node(EDGE, Role.EDGE);
     }
 
@@ -103,8 +106,8 @@
                         requestId.text(),
                         NodeStatus.PARTIAL,
                         Main.VERSION))
-                .seeds(List.of(SHIELD, SECOND))
-                .quorum(new Quorum(List.of(SHIELD, SECOND), Set.of()))
+                .seeds(List.of(SHIELD, SECOND_SHIELD))
+                .quorum(new Quorum(List.of(SHIELD, SECOND_SHIELD), Set.of()))
                 .timings(LeaseTimings.DEFAULT)
                 .shards(options.shards())
                 .cacheBytes(1 << 20)
@@ -123,7 +126,7 @@
                 new EventJournal(loop, 64));
     }
 
-    /** Between the two, each message is encoded and decoded as between processes. */
+    /** Delivers messages between the nodes of the warm-up, encoding and decoding each one as between processes. */
     private final class InProcessTransport implements Transport {
         private final NodeId self;
 
@@ -132,10 +135,13 @@
         }
 
         @Override
-        public void request(final NodeId recipient, final Message msg, final long wait, final Consumer<Reply> then) {
+        public void request(
+                final NodeId recipient, final Message msg, final long timeoutMs, final Consumer<Reply> callback) {
             final Message sent = copy(msg);
-            loop.execute(() -> (recipient.equals(SHIELD) ? shield : recipient.equals(SECOND) ? second : edge)
-                    .handle(self, sent, m -> loop.execute(() -> then.accept(Reply.of(copy(m))))));
+            loop.execute(() -> (recipient.equals(SHIELD)
+                            ? shield
+                            : recipient.equals(SECOND_SHIELD) ? secondShield : edge)
+                    .handle(self, sent, response -> loop.execute(() -> callback.accept(Reply.of(copy(response))))));
         }
 
         private Message copy(final Message msg) {
@@ -149,19 +155,18 @@
         }
     }
 
-    /** An origin in memory. */
     private final class InMemoryOrigin implements OriginTransport {
         @Override
         public Exchange send(
                 final Origin origin,
                 final OutboundRequest request,
-                final Permission gate,
-                final Consumer<OriginResponse> then) {
+                final Permission permission,
+                final Consumer<OriginResponse> callback) {
             protocol.writeHeaders(origin, request, (k, v) -> {});
-            final Map<String, String> heads = protocol.warmupHeaders(n -> request.requestId());
-            loop.execute(() -> then.accept(
-                    gate.mayWrite()
-                            ? protocol.read(origin, request, 200, heads, new byte[6000])
+            final Map<String, String> headers = protocol.warmupHeaders(n -> request.requestId());
+            loop.execute(() -> callback.accept(
+                    permission.mayWrite()
+                            ? protocol.read(origin, request, 200, headers, new byte[RESPONSE_BYTES])
                             : OriginResponse.without(ExchangeResult.NOT_PERMITTED, "")));
             return () -> {};
         }
@@ -180,7 +185,7 @@
         return loop;
     }
 
-    /** False where it was given up; then nothing but time is lost. */
+    /** Starts and configures the nodes; returns false if that did not complete in time, which is harmless. */
     boolean prepare(final int originPort) throws InterruptedException {
         return prepare(originPort, CONFIG);
     }
@@ -189,14 +194,14 @@
         loop.execute(() -> {
             try {
                 shield.start();
-                second.start();
+                secondShield.start();
                 edge.start();
             } catch (final StorageException e) {
                 return;
             }
             loop.schedule(1500, () -> applyConfiguration(originPort, config));
         });
-        // Last: a loop that has nothing queued yet would skip its idle time before the nodes have started.
+        // The loop starts last, because with an empty queue it would skip its idle time before the nodes have started.
         loop.start();
         finished.await(Math.max(1, remainingNanos()), TimeUnit.NANOSECONDS);
         loop.runInRealTime();
@@ -206,7 +211,7 @@
     private void applyConfiguration(final int originPort, final String config) {
         if (!shield.viewSynchronizer().isFresh()
                 || shield.leaseHolder().heldCount() == 0
-                || second.leaseHolder().heldCount() == 0) {
+                || secondShield.leaseHolder().heldCount() == 0) {
             loop.schedule(50, () -> applyConfiguration(originPort, config));
             return;
         }
@@ -233,7 +238,8 @@
     }
 
     /**
-     * The clock is stopped here, in the loop's own thread, before anybody is notified: else it would run on meanwhile.
+     * Waits until the edge can serve requests. The loop returns to real time here, in its own thread and before the waiting
+     * thread is notified, because the clock would otherwise continue to skip idle time in between.
      */
     private void awaitReady() {
         if (edge.configuration().routesByPrecedence().size() == 3
@@ -247,12 +253,12 @@
         }
     }
 
-    /** Requests of each kind, one after the other, until the rounds or the time are over. */
-    int play(final int rounds, final Caller caller) throws InterruptedException, IOException {
+    /** Sends requests of each kind, one after the other, until all rounds or the time limit are used up. */
+    int sendRequests(final int rounds, final RequestSender sender) throws InterruptedException, IOException {
         for (int index = 0; index < rounds && remainingNanos() > 0; index++) {
-            final CountDownLatch answered = new CountDownLatch(1);
-            caller.call(requestOf(index), answered::countDown);
-            if (!answered.await(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+            final CountDownLatch responded = new CountDownLatch(1);
+            sender.send(createRequest(index), responded::countDown);
+            if (!responded.await(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 return completed;
             }
             completed++;
@@ -260,7 +266,7 @@
         return completed;
     }
 
-    private static ClientRequest requestOf(final int index) {
+    private static ClientRequest createRequest(final int index) {
         final String requestId = "rehearsal-" + index;
         final Map<String, String> headers = Map.of("Accept", "*/*", "User-Agent", "rehearsal");
         return switch (index % 4) {
--- a/server/src/main/java/org/rowanvalve/server/process/Main.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Main.java
@@ -13,7 +13,7 @@
 import org.rowanvalve.server.options.OptionSource;
 import org.rowanvalve.server.options.Options;
 
-/** The programs {@code rwstore}, {@code rwshield} and {@code rwedge}: the first argument says which. */
+/** The programs {@code rwstore}, {@code rwshield} and {@code rwedge}: the first argument is the role. */
 public final class Main {
     public static final String VERSION = "0.1.0";
 
@@ -33,18 +33,18 @@
                 .filter(r -> r.label().equals(args[0]))
                 .findFirst()
                 .orElseThrow();
-        final String[] rest = Arrays.copyOfRange(args, 1, args.length);
-        if (List.of(rest).contains("--version")) {
+        final String[] roleArguments = Arrays.copyOfRange(args, 1, args.length);
+        if (List.of(roleArguments).contains("--version")) {
             System.out.println("rw" + role.label() + " " + VERSION);
             return;
         }
-        if (List.of(rest).contains("--help")) {
+        if (List.of(roleArguments).contains("--help")) {
             System.out.println("rw" + role.label() + " runs one " + role.label() + " of a rowanvalve network.\n");
             OptionFlags.parser().printHelpOn(System.out);
             return;
         }
         final List<ValidationError> faults = new ArrayList<>();
-        final OptionSource source = new OptionSource(role, rest);
+        final OptionSource source = new OptionSource(role, roleArguments);
         final Options options = source.read(faults);
         if (!faults.isEmpty()) {
             faults.forEach(error -> System.err.println(EventCode.BAD_OPTIONS.id() + " " + error));
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Keeps the HTTP library's messages out of the log. */
+    /** Sets the log format and keeps the HTTP library's messages below warnings out of the log. */
     public static void quiet() {
         LogLineFormatter.use();
         JETTY.setLevel(java.util.logging.Level.WARNING);
--- a/server/src/main/java/org/rowanvalve/server/process/OptionWatcher.java
+++ b/server/src/main/java/org/rowanvalve/server/process/OptionWatcher.java
@@ -14,24 +14,24 @@
 import org.rowanvalve.server.thread.ThreadGuard;
 
 /**
- * Reads the options again after SIGHUP, or once their file has changed. They are checked as a whole; with an error the
- * earlier ones stay in force. A thread of its own does this, as reading a file may take time.
+ * Reloads the options after SIGHUP or a change of their file. The new options are validated as a whole; after an error the
+ * earlier options stay in force. Reloading has its own thread, because reading a file may block.
  */
 final class OptionWatcher {
     /** How often the file is checked without a signal. */
-    private static final long LOOK_MS = 2000;
+    private static final long CHECK_INTERVAL_MS = 2000;
 
     private final OptionSource source;
     private final EventJournal journal;
-    private final List<SettingsListener> listeners = new CopyOnWriteArrayList<>();
+    private final List<OptionsListener> listeners = new CopyOnWriteArrayList<>();
     private final Options started;
     private volatile Options current;
     private OptionSource.Stamp read;
     private OptionSource.Stamp seen;
 
-    /** Receives options that are now in force; called in the watcher's thread, and once when it is added. */
+    /** Receives the options in force: once when the listener is added, then after each change in the watcher's thread. */
     @FunctionalInterface
-    interface SettingsListener {
+    interface OptionsListener {
         void changed(Options now);
     }
 
@@ -50,12 +50,12 @@
         thread.start();
     }
 
-    /** The options last read without an error; only the reloadable ones are in force before the next start. */
+    /** Returns the options last read without an error. Those that are not reloadable take effect at the next start. */
     Options current() {
         return current;
     }
 
-    synchronized void listen(final SettingsListener listener) {
+    synchronized void listen(final OptionsListener listener) {
         listeners.add(listener);
         listener.changed(current);
     }
@@ -63,16 +63,16 @@
     private void run() {
         try {
             while (true) {
-                final boolean asked = HangupSignal.await(LOOK_MS);
-                ThreadGuard.run(asked ? this::reload : this::look);
+                final boolean signalled = HangupSignal.await(CHECK_INTERVAL_MS);
+                ThreadGuard.run(signalled ? this::reload : this::checkFile);
             }
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A change counts once two looks found the same, so that no file is read while it is being written. */
-    void look() {
+    /** Reloads a changed file once two successive checks have found the same state, so that no partly written file is read. */
+    void checkFile() {
         final OptionSource.Stamp now = source.stamp();
         final boolean settled = now.equals(seen);
         seen = now;
@@ -93,17 +93,17 @@
             return;
         }
         final List<String> needsStart = OptionChange.between(started, next).needsStart();
-        final List<String> taken = OptionChange.between(current, next).applied();
+        final List<String> applied = OptionChange.between(current, next).applied();
         if (!needsStart.isEmpty()) {
             journal.add(Event.of(EventCode.RELOAD_NEEDS_START, "options", String.join(", ", needsStart)));
         }
-        journal.add(Event.of(EventCode.RELOADED, "changed", taken.isEmpty() ? "none" : String.join(", ", taken)));
-        if (taken.contains("wanted-losses") && !next.voterShortage().isEmpty()) {
+        journal.add(Event.of(EventCode.RELOADED, "changed", applied.isEmpty() ? "none" : String.join(", ", applied)));
+        if (applied.contains("wanted-losses") && !next.voterShortage().isEmpty()) {
             journal.add(Event.of(EventCode.SHORTAGE, "why", next.voterShortage()));
         }
         current = next;
-        if (!taken.isEmpty()) {
-            listeners.forEach(l -> l.changed(next));
+        if (!applied.isEmpty()) {
+            listeners.forEach(listener -> listener.changed(next));
         }
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
@@ -29,21 +29,26 @@
 /** Dagger's bindings for one process. */
 @Module
 public final class ProcessModule {
-    private final String boot;
+    private static final int JOURNAL_CAPACITY = 2000;
+    private static final int ORIGIN_CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_ORIGIN_THREADS = 16;
+    private static final int MIN_ORIGIN_THREADS = 2;
+
+    private final String incarnation;
     private final OriginProtocol originProtocol;
     private Options options;
     private ChosenItem votingSet;
 
-    public ProcessModule(final Options options, final String boot, final OriginProtocol originProtocol) {
+    public ProcessModule(final Options options, final String incarnation, final OriginProtocol originProtocol) {
         this.options = options;
-        this.boot = boot;
+        this.incarnation = incarnation;
         this.originProtocol = originProtocol;
     }
 
-    /** Before the node is assembled. {@code present}: the chosen set that votes now, or null where none is known. */
-    public void setVoters(final Options current, final ChosenItem present) {
+    /** Sets the voters; called before the node is created. {@code currentVotingSet} is the current voting set, or null if unknown. */
+    public void setVoters(final Options current, final ChosenItem currentVotingSet) {
         options = current;
-        votingSet = present;
+        votingSet = currentVotingSet;
     }
 
     @Provides
@@ -61,7 +66,7 @@
     @Provides
     @Singleton
     EventJournal journal(final CoreEventLoop loop) {
-        return new EventJournal(loop, 2000);
+        return new EventJournal(loop, JOURNAL_CAPACITY);
     }
 
     @Provides
@@ -81,12 +86,12 @@
     @Provides
     @Singleton
     HttpClient client() {
-        final QueuedThreadPool threads = new QueuedThreadPool(16, 2);
+        final QueuedThreadPool threads = new QueuedThreadPool(MAX_ORIGIN_THREADS, MIN_ORIGIN_THREADS);
         threads.setName("origins");
         final PlainTextConnector connector = new PlainTextConnector();
         connector.setSelectors(1);
         connector.setExecutor(threads);
-        connector.setConnectTimeout(java.time.Duration.ofMillis(500));
+        connector.setConnectTimeout(java.time.Duration.ofMillis(ORIGIN_CONNECT_TIMEOUT_MS));
         final HttpClient http = new OriginHttpClient(connector);
         http.setExecutor(threads);
         return http;
@@ -118,7 +123,7 @@
                 options.location(),
                 options.peerAddress().getHostString(),
                 options.peerAddress().getPort(),
-                boot,
+                incarnation,
                 NodeStatus.PARTIAL,
                 Main.VERSION);
         final NodeSettings settings = NodeSettings.builderFor(member)
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -30,27 +30,30 @@
 import org.rowanvalve.server.storage.SqliteStorage;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** One process: control and data plane over network, disk and log, with its HTTP interfaces. */
+/** Assembles, starts and stops one process: the control and data planes, network, storage, log and HTTP interfaces. */
 public final class Program {
+    /** Time beyond the stop timeout that the shutdown hook waits for the node to complete its shutdown. */
+    private static final long SHUTDOWN_MARGIN_MS = 2000;
+
     private final OptionSource source;
     private final Options options;
     private final Frontends frontends;
     private final StartupTimer startupTimer;
 
-    /** What a handler may use of the process. */
+    /** The parts of the process that an HTTP handler may use. */
     public record ProcessContext(CoreEventLoop loop, Node node, Transport net, Options options) {}
 
-    /** The HTTP interfaces of the process; the product's own, or an adapter's. */
+    /** The HTTP interfaces of the process: the built-in ones or those of an adapter. */
     public interface Frontends {
         OriginProtocol originProtocol();
 
-        /** The headers by which a client's request describes itself; for the warm-up in this process only. */
+        /** The headers that encode the properties of a client's request; used by the in-process warm-up only. */
         Map<String, String> requestHeaders(ClientRequest request);
 
-        /** For clients, at the option {@code door}. */
+        /** The handler for clients, at the address of the option {@code door}. */
         Handler clientHandler(ProcessContext context);
 
-        /** For the further addresses of the option {@code faces}, by name. */
+        /** The handlers for the additional addresses of the option {@code faces}, by name. */
         Map<String, Handler> furtherHandlers(ProcessContext context);
     }
 
@@ -80,7 +83,7 @@
         this(source, options, new DefaultFrontends(), new StartupTimer());
     }
 
-    /** {@code options} were just read from {@code source}, which is read again when they may have changed. */
+    /** Creates a process from {@code options} as read from {@code source}, which a reload reads again. */
     public Program(
             final OptionSource source,
             final Options options,
@@ -92,7 +95,7 @@
         this.startupTimer = startupTimer;
     }
 
-    /** Starts the process; returns once it takes requests. Each phase depends on the ones before it. */
+    /** Starts the process and returns once it accepts requests. Each phase depends on the ones before it. */
     public void run() throws StorageException, IOException, InterruptedException {
         final String incarnation = UUID.randomUUID().toString().substring(0, 8);
         final ProcessModule module = new ProcessModule(options, incarnation, frontends.originProtocol());
@@ -128,7 +131,7 @@
 
     private void openStorage(final ProcessComponent components) throws StorageException, InterruptedException {
         if (components.disk() instanceof SqliteStorage sqlite) {
-            sqlite.open(why -> components.journal().add(Event.of(EventCode.DISK_SLOW, "why", why)));
+            sqlite.open(reason -> components.journal().add(Event.of(EventCode.DISK_SLOW, "why", reason)));
         }
         startupTimer.end("disk");
     }
@@ -140,7 +143,7 @@
         }
         components.loop().onShed(() -> components.journal().add(Event.of(EventCode.RING_FULL, "ring", "core")));
         try {
-            components.net().bind(options.peerAddress(), VoterDiscovery::blank);
+            components.net().bind(options.peerAddress(), VoterDiscovery::respondWithoutVoters);
         } catch (final IOException e) {
             throw new IOException("wire address " + options.peerAddress() + " cannot be used: " + e.getMessage(), e);
         }
@@ -150,7 +153,7 @@
     }
 
     /**
-     * The options with the voters that this node goes by; waits until some node answers, where they are not known here.
+     * Returns the options with the voters that this node uses. If they are not known here, waits until another node answers.
      */
     private Options findVoters(
             final ProcessModule module, final ProcessComponent components, final OptionWatcher optionWatcher)
@@ -161,7 +164,7 @@
                 components.net(),
                 components.disk(),
                 () -> optionWatcher.current().seeds());
-        final Options votersKnown = discovery.seat();
+        final Options votersKnown = discovery.findVoters();
         module.setVoters(votersKnown, discovery.voters());
         votersKnown.knownAddresses().forEach(components.net()::learnAddress);
         startupTimer.end("seats");
@@ -211,18 +214,18 @@
         }
     }
 
-    /** All addresses share one server, with one pool of threads. */
+    /** Opens the HTTP addresses, which share one server and its thread pool. */
     private void openAddresses(final ProcessContext context) throws IOException {
         final Server server = HttpAddresses.server("http");
-        final HttpAddresses components = new HttpAddresses(server);
-        server.setHandler(components);
+        final HttpAddresses addresses = new HttpAddresses(server);
+        server.setHandler(addresses);
         startServer(server, "http server");
-        components.open(
+        addresses.open(
                 "http address ",
                 options.controlAddress(),
                 new ControlApi(context.loop(), context.node(), context.net()));
         if (options.clientAddress() != null) {
-            components.open(
+            addresses.open(
                     "door address ",
                     options.clientAddress(),
                     frontends.clientHandler(context),
@@ -232,12 +235,12 @@
         for (final Map.Entry<String, InetSocketAddress> entry :
                 options.furtherAddresses().entrySet()) {
             if (further.containsKey(entry.getKey())) {
-                components.open("address " + entry.getKey() + " ", entry.getValue(), further.get(entry.getKey()));
+                addresses.open("address " + entry.getKey() + " ", entry.getValue(), further.get(entry.getKey()));
             }
         }
     }
 
-    /** Starts a server; fails with the description where an address cannot be used. */
+    /** Starts a server; the exception of a failed start begins with the description. */
     public static void startServer(final Server server, final String description) throws IOException {
         try {
             server.start();
@@ -263,7 +266,7 @@
         final long timeoutMs = optionWatcher.current().stopTimeoutMs();
         components.loop().execute(() -> components.node().shutDown(timeoutMs, stopped::countDown));
         try {
-            stopped.await(timeoutMs + 2000, TimeUnit.MILLISECONDS);
+            stopped.await(timeoutMs + SHUTDOWN_MARGIN_MS, TimeUnit.MILLISECONDS);
         } catch (final InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/server/src/main/java/org/rowanvalve/server/process/StartupTimer.java
+++ b/server/src/main/java/org/rowanvalve/server/process/StartupTimer.java
@@ -3,24 +3,24 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** How long each part of a start took, in ms, as a fact of the event that ends it. */
+/** Measures the duration of each startup phase in ms, for the event that reports the end of the startup. */
 public final class StartupTimer {
-    private final Map<String, Long> done = new LinkedHashMap<>();
-    private final long from = System.nanoTime();
-    private long last = from;
+    private final Map<String, Long> durationsMs = new LinkedHashMap<>();
+    private final long startNanos = System.nanoTime();
+    private long phaseStartNanos = startNanos;
 
-    public synchronized void end(final String part) {
+    public synchronized void end(final String phase) {
         final long now = System.nanoTime();
-        done.put(part, (now - last) / 1_000_000);
-        last = now;
+        durationsMs.put(phase, (now - phaseStartNanos) / 1_000_000);
+        phaseStartNanos = now;
     }
 
     public synchronized long whole() {
-        return (System.nanoTime() - from) / 1_000_000;
+        return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
     @Override
     public synchronized String toString() {
-        return done.toString();
+        return durationsMs.toString();
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
+++ b/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
@@ -26,13 +26,15 @@
 import org.rowanvalve.server.thread.CoreEventLoop;
 
 /**
- * Finds the voters: the seeds, when the network is started for the first time; later what this node's disk says, or
- * what any reachable node answers. The seeds of a later start may be other nodes, so they are asked and do not count as
- * voters themselves.
+ * Finds the voters. At the first start of the network they are the seeds. Later they are read from this node's disk or,
+ * if it has none, requested from any reachable node. The seeds of a later start may be other nodes than the voters, so
+ * they are asked for the voters and are not used as voters themselves.
  */
 final class VoterDiscovery {
-    private static final String ROW = "seats";
-    private static final long AGAIN = 60;
+    private static final String STORAGE_KEY = "seats";
+    private static final long RETRY_MS = 60;
+    private static final long REQUEST_TIMEOUT_MS = 1000;
+
     private final Options options;
     private final CoreEventLoop loop;
     private final TcpTransport net;
@@ -48,7 +50,7 @@
         this(options, loop, net, storage, options::seeds);
     }
 
-    /** With seeds that may change while they are asked. */
+    /** Creates a discovery whose seeds may change while it waits for their answers. */
     VoterDiscovery(
             final Options options,
             final CoreEventLoop loop,
@@ -62,63 +64,70 @@
         this.storage = storage;
     }
 
-    Options seat() throws StorageException, InterruptedException {
+    Options findVoters() throws StorageException, InterruptedException {
         if (!options.votersAreLearned()) {
             return options;
         }
-        final byte[] row = storage.load().get(ROW);
-        final List<String> kept;
+        final byte[] row = storage.load().get(STORAGE_KEY);
+        final List<String> storedVoters;
         try {
-            kept = row == null ? List.of() : MessageCodec.decode(row, Row.class).electors();
+            storedVoters = row == null
+                    ? List.of()
+                    : MessageCodec.decode(row, Row.class).electors();
         } catch (final MessageFormatException e) {
             throw new StorageException("the row of electors cannot be read", e);
         }
-        if (!kept.isEmpty()) {
-            return options.withFounders(sites(kept));
+        if (!storedVoters.isEmpty()) {
+            return options.withFounders(parseAddresses(storedVoters));
         }
-        final Options o = options.firstBoot() ? options : options.withFounders(sites(ask().foundingVoters()));
-        storage.save(Map.of(ROW, MessageCodec.encode(new Row(o.founderAddresses()))), ok -> {});
-        return o;
+        final Options withVoters = options.firstBoot()
+                ? options
+                : options.withFounders(parseAddresses(requestVoters().foundingVoters()));
+        storage.save(Map.of(STORAGE_KEY, MessageCodec.encode(new Row(withVoters.founderAddresses()))), ok -> {});
+        return withVoters;
     }
 
-    /** The chosen set that votes now, where another node was asked and named one; else null. */
+    /** Returns the current voting set if another node was asked and reported one, or null. */
     ChosenItem voters() {
         return voters;
     }
 
-    /** Answers for a node that does not know yet. */
-    static void blank(final NodeId from, final Message msg, final Consumer<Message> back) {
-        back.accept(
+    /** Handles messages to a node that does not know the voters yet. */
+    static void respondWithoutVoters(final NodeId from, final Message msg, final Consumer<Message> callback) {
+        callback.accept(
                 msg instanceof VotersRequest
                         ? new VotersResponse(List.of(), null)
                         : new RejectedResponse("not seated yet"));
     }
 
-    private VotersResponse ask() throws InterruptedException {
-        final CompletableFuture<VotersResponse> got = new CompletableFuture<>();
+    private VotersResponse requestVoters() throws InterruptedException {
+        final CompletableFuture<VotersResponse> received = new CompletableFuture<>();
         while (true) {
             seeds.get().keySet().stream()
-                    .filter(s -> !s.equals(options.id()))
-                    .forEach(s -> loop.execute(() -> net.request(
-                            s,
+                    .filter(seed -> !seed.equals(options.id()))
+                    .forEach(seed -> loop.execute(() -> net.request(
+                            seed,
                             new VotersRequest(),
-                            1000,
+                            REQUEST_TIMEOUT_MS,
                             reply -> reply.as(VotersResponse.class)
-                                    .filter(m -> !m.foundingVoters().isEmpty())
-                                    .ifPresent(got::complete))));
+                                    .filter(response ->
+                                            !response.foundingVoters().isEmpty())
+                                    .ifPresent(received::complete))));
             try {
-                final VotersResponse answer = got.get(AGAIN, TimeUnit.MILLISECONDS);
-                voters = answer.votingSet();
-                return answer;
+                final VotersResponse response = received.get(RETRY_MS, TimeUnit.MILLISECONDS);
+                voters = response.votingSet();
+                return response;
             } catch (final TimeoutException | ExecutionException e) {
                 continue;
             }
         }
     }
 
-    private static Map<NodeId, InetSocketAddress> sites(final List<String> list) {
-        final Map<NodeId, InetSocketAddress> map = new LinkedHashMap<>();
-        list.stream().map(VoterAddress::parse).forEach(a -> map.put(a.id(), new InetSocketAddress(a.host(), a.port())));
-        return map;
+    private static Map<NodeId, InetSocketAddress> parseAddresses(final List<String> list) {
+        final Map<NodeId, InetSocketAddress> addresses = new LinkedHashMap<>();
+        list.stream()
+                .map(VoterAddress::parse)
+                .forEach(address -> addresses.put(address.id(), new InetSocketAddress(address.host(), address.port())));
+        return addresses;
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/process/WarmupRequests.java
+++ b/server/src/main/java/org/rowanvalve/server/process/WarmupRequests.java
@@ -26,7 +26,7 @@
  */
 final class WarmupRequests {
     private static final int ROUNDS = 320;
-    private static final long MAX_MS = 2500;
+    private static final long MAX_DURATION_MS = 2500;
     private final Options options;
     private final Program.Frontends frontends;
 
@@ -35,7 +35,10 @@
         this.frontends = frontends;
     }
 
-    /** How many requests were rehearsed, none by a process that returns; whatever goes wrong here is of no consequence. */
+    /**
+     * Returns the number of warm-up requests that completed, or -1 after a failure, which is harmless. A store, a
+     * process that rejoins a running network and a process whose voters are configured send none.
+     */
     int run(final ProcessComponent components) throws InterruptedException {
         if (!options.votersAreLearned() || !options.firstBoot() || options.role() == Role.STORE) {
             return 0;
@@ -48,7 +51,8 @@
     }
 
     private int warmUpEdge(final Transport transport) throws IOException, InterruptedException {
-        final InProcessWarmup warmup = new InProcessWarmup(options, frontends.originProtocol(), loop -> null, MAX_MS);
+        final InProcessWarmup warmup =
+                new InProcessWarmup(options, frontends.originProtocol(), loop -> null, MAX_DURATION_MS);
         try {
             if (!warmup.prepare(1)) {
                 return 0;
@@ -63,10 +67,10 @@
                 socket.setSoTimeout(200);
                 socket.setTcpNoDelay(true);
                 final DataInputStream input = new DataInputStream(socket.getInputStream());
-                return warmup.play(ROUNDS, (request, then) -> {
-                    socket.getOutputStream().write(httpText(request));
-                    skipResponse(input);
-                    then.run();
+                return warmup.sendRequests(ROUNDS, (request, onResponse) -> {
+                    socket.getOutputStream().write(encodeRequest(request));
+                    discardResponse(input);
+                    onResponse.run();
                 });
             } finally {
                 stop(server);
@@ -83,13 +87,13 @@
                 options,
                 frontends.originProtocol(),
                 loop -> new HttpOriginTransport(loop, http, frontends.originProtocol()),
-                MAX_MS);
+                MAX_DURATION_MS);
         try {
             return warmup.prepare(port)
-                    ? warmup.play(
+                    ? warmup.sendRequests(
                             ROUNDS,
-                            (request, then) -> warmup.loop()
-                                    .execute(() -> warmup.edge().edge().handle(request, a -> then.run())))
+                            (request, onResponse) -> warmup.loop()
+                                    .execute(() -> warmup.edge().edge().handle(request, response -> onResponse.run())))
                     : 0;
         } finally {
             warmup.stop();
@@ -112,7 +116,7 @@
         }
     }
 
-    private byte[] httpText(final ClientRequest request) {
+    private byte[] encodeRequest(final ClientRequest request) {
         final StringBuilder headers = new StringBuilder();
         frontends
                 .requestHeaders(request)
@@ -131,7 +135,7 @@
                 .array();
     }
 
-    private static void skipResponse(final DataInputStream input) throws IOException {
+    private static void discardResponse(final DataInputStream input) throws IOException {
         int length = 0;
         for (String line = readLine(input); !line.isEmpty(); line = readLine(input)) {
             if (line.regionMatches(true, 0, "content-length:", 0, 15)) {
@@ -142,26 +146,26 @@
     }
 
     private static String readLine(final InputStream input) throws IOException {
-        final StringBuilder headBytes = new StringBuilder();
+        final StringBuilder line = new StringBuilder();
         for (int c = input.read(); c != '\n'; c = input.read()) {
             if (c < 0) {
-                throw new IOException("cut short");
+                throw new IOException("connection closed within the response headers");
             }
             if (c != '\r') {
-                headBytes.append((char) c);
+                line.append((char) c);
             }
         }
-        return headBytes.toString();
+        return line.toString();
     }
 
     private final class Origin extends Handler.Abstract {
         @Override
-        public boolean handle(final Request req, final Response res, final Callback done) {
+        public boolean handle(final Request request, final Response response, final Callback callback) {
             frontends
                     .originProtocol()
-                    .warmupHeaders(n -> String.valueOf(req.getHeaders().get(n)))
-                    .forEach((k, v) -> res.getHeaders().put(k, v));
-            res.write(true, ByteBuffer.allocate(6000), done);
+                    .warmupHeaders(n -> String.valueOf(request.getHeaders().get(n)))
+                    .forEach((k, v) -> response.getHeaders().put(k, v));
+            response.write(true, ByteBuffer.allocate(InProcessWarmup.RESPONSE_BYTES), callback);
             return true;
         }
     }
--- a/server/src/test/java/org/rowanvalve/server/options/AddressOnlyOptionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/options/AddressOnlyOptionsTest.java
@@ -16,7 +16,7 @@
 import org.rowanvalve.common.model.Role;
 import org.rowanvalve.common.model.ValidationError;
 
-/** Options of nodes that are told addresses only. */
+/** Tests the options of nodes that are configured with addresses only, without node names. */
 class AddressOnlyOptionsTest {
     private static final String[] BASE = {
         "--wire",
@@ -38,14 +38,14 @@
                 role, Stream.concat(Arrays.stream(BASE), Arrays.stream(more)).toArray(String[]::new), faults);
     }
 
-    private List<String> told() {
+    private List<String> errorTexts() {
         return faults.stream().map(ValidationError::toString).toList();
     }
 
     @Test
-    void nodesAndSeedsAreCalledByTheirAddress() {
+    void nodesAndSeedsAreNamedByTheirAddress() {
         final Options options = read(Role.SHIELD, "--data", "d");
-        assertEquals(List.of(), told());
+        assertEquals(List.of(), errorTexts());
         assertEquals(NodeId.of("n10-0-0-9"), options.id());
         assertEquals(
                 Set.of(NodeId.of("n10-0-0-1"), NodeId.of("n10-0-0-2"), NodeId.of("n10-0-0-3")),
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void withoutASeedPortASeedsOwnPortStands() {
+    void seedKeepsItsPortIfNoSeedPortIsGiven() {
         final Options options = Options.read(
                 Role.SHIELD,
                 new String[] {
@@ -74,24 +74,24 @@
                     "10.0.0.1:81,x@10.0.0.2:82"
                 },
                 faults);
-        assertEquals(List.of(), told());
+        assertEquals(List.of(), errorTexts());
         assertEquals(new InetSocketAddress("10.0.0.1", 81), options.seeds().get(NodeId.of("n10-0-0-1")));
         assertEquals(new InetSocketAddress("10.0.0.2", 82), options.seeds().get(NodeId.of("x")));
     }
 
     @Test
-    void electorsAreShieldsWithDisks() {
+    void shieldThatMayVoteNeedsADataDirectory() {
         assertNull(read(Role.SHIELD));
-        assertEquals(List.of("/data: missing"), told());
+        assertEquals(List.of("/data: missing"), errorTexts());
         assertEquals(List.of(), read(Role.EDGE, "--door", "10.0.0.9:8080").locations());
     }
 
     @Test
-    void lossesThatTheElectorsCannotBearAreAFault() {
+    void moreLossesThanTheVotersTolerateAreAnError() {
         assertEquals(
                 2, read(Role.SHIELD, "--data", "d", "--losses", "1").quorum().majority());
         read(Role.SHIELD, "--data", "d", "--losses", "2");
-        assertEquals(List.of("/losses: 3 electors bear the loss of 1, not of 2"), told());
+        assertEquals(List.of("/losses: 3 electors bear the loss of 1, not of 2"), errorTexts());
         final String five = "a@10.0.0.1:1,b@10.0.0.2:1,c@10.0.0.3:1,d@10.0.0.4:1,e@10.0.0.5:1";
         assertEquals(
                 3,
@@ -101,22 +101,22 @@
         read(Role.SHIELD, "--data", "d", "--losses", "2", "--electors", five.substring(0, five.lastIndexOf(',')));
         assertEquals(
                 List.of("/losses: 4 electors bear the loss of 1, not of 2"),
-                told(),
-                "an even number bears no more than the odd one below");
+                errorTexts(),
+                "an even number of voters tolerates no more losses than one voter less");
     }
 
     @Test
-    void wantedLossesThatTheElectorsCannotBearAreToldAndNoFault() {
+    void moreWantedLossesThanTheVotersTolerateAreAShortageButNoError() {
         assertEquals(
                 "", read(Role.SHIELD, "--data", "d", "--wanted-losses", "1").voterShortage());
         assertEquals(
                 "3 electors bear the loss of 1, not of 2",
                 read(Role.SHIELD, "--data", "d", "--wanted-losses", "2").voterShortage());
-        assertEquals(List.of(), told());
+        assertEquals(List.of(), errorTexts());
     }
 
     @Test
-    void aFrameCountsForThreeQuartersOfTheShortestTime() {
+    void maxViewAgeIsThreeQuartersOfTheShortestTime() {
         assertEquals(1500, read(Role.SHIELD, "--data", "d").timings().maxViewAgeMs());
         assertEquals(
                 750,
@@ -132,18 +132,18 @@
                         .timings()
                         .maxViewAgeMs());
         read(Role.SHIELD, "--data", "d", "--apply-ms", "399");
-        assertEquals(List.of("/apply-ms: must be from 400 to 600000"), told());
+        assertEquals(List.of("/apply-ms: must be from 400 to 600000"), errorTexts());
     }
 
     @Test
-    void theStopEndsBeforeTheGraceDoes() {
+    void stopTimeoutEndsBeforeTheGracePeriod() {
         assertEquals(8000, read(Role.SHIELD, "--data", "d").stopTimeoutMs());
         assertEquals(4500, read(Role.SHIELD, "--data", "d", "--grace-s", "6").stopTimeoutMs());
         assertEquals(500, read(Role.SHIELD, "--data", "d", "--grace-s", "1").stopTimeoutMs());
     }
 
     @Test
-    void objectsAreFilledByRegionUnlessToldOtherwise() {
+    void objectsAreFilledByRegionByDefault() {
         final String[] cells = {"--data", "d", "--cell", "r/b", "--cells", "r/a,r/b,q/c"};
         assertEquals(List.of("q/", "r/"), read(Role.SHIELD, cells).regions());
         final String[] more = Arrays.copyOf(cells, 8);
@@ -154,13 +154,13 @@
         assertEquals(List.of(), read(Role.SHIELD, more).regions());
         more[7] = "town";
         read(Role.SHIELD, more);
-        assertEquals(List.of("/spread: region, zone or none"), told());
+        assertEquals(List.of("/spread: region, zone or none"), errorTexts());
     }
 
     @Test
-    void aCellMustBeAmongTheCellsAndFacesAreAddresses() {
+    void cellMustBeListedAndFacesMustBeAddresses() {
         read(Role.SHIELD, "--data", "d", "--cell", "r/z", "--cells", "r/a,r/b");
-        assertEquals(List.of("/cell: r/z is not among the cells"), told());
+        assertEquals(List.of("/cell: r/z is not among the cells"), errorTexts());
         final Options options = read(
                 Role.SHIELD,
                 "--data",
@@ -175,9 +175,9 @@
                 new InetSocketAddress("10.0.0.9", 91),
                 options.furtherAddresses().get("two"));
         read(Role.SHIELD, "--data", "d", "--faces", "one@host:90");
-        assertEquals(List.of("/faces: IP:PORT is wanted, not host:90"), told());
+        assertEquals(List.of("/faces: IP:PORT is wanted, not host:90"), errorTexts());
         read(Role.SHIELD, "--data", "d", "--first", "maybe");
-        assertEquals(List.of("/first: true or false is wanted here"), told());
+        assertEquals(List.of("/first: true or false is wanted here"), errorTexts());
         assertFalse(read(Role.SHIELD, "--data", "d", "--first", "false").firstBoot());
     }
 }
--- a/server/src/test/java/org/rowanvalve/server/options/OptionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/options/OptionsTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void allFaultsAreToldAtOnceWithTheirPlace() {
+    void allErrorsAreReportedTogetherWithTheirPaths() {
         final List<ValidationError> faults = new ArrayList<>();
         read(
                 faults,
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anEvenNumberOfElectorsAnUnknownMemberAndATwiceStatedOneAreFaults() throws Exception {
+    void evenVoterCountUnknownMemberAndDuplicateMemberAreErrors() throws Exception {
         final Path file = Files.writeString(dir.resolve("o.json"), """
             {"id":"sh9","id":"sh8","wire":"127.0.0.9:1","http":"127.0.0.9:2","colour":"red","seeds":["st1@127.0.0.1:7001",
             "st2@127.0.0.2:7001","sh1@127.0.0.3:7001"],"electors":["st1@127.0.0.1:7001","st2@127.0.0.2:7001"]}""");
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void flagsGoBeforeTheFileAndDefaultsAreTheDesigns() throws Exception {
+    void flagsTakePrecedenceOverTheFile() throws Exception {
         final Path file = Files.writeString(dir.resolve("o.json"), "{\"id\":\"ed1\",\"cell\":\"north\",\"d\":6000}");
         final List<ValidationError> faults = new ArrayList<>();
         final Options options = read(
--- a/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/DocsTest.java
@@ -22,40 +22,40 @@
 import org.rowanvalve.control.config.Configuration;
 import org.rowanvalve.server.options.OptionFlags;
 
-/** The documents' lists and examples are held against the code. */
+/** Checks the lists, examples and names in the documentation against the code. */
 class DocsTest {
     private static final Path DOCS = Path.of("..", "docs");
 
     @Test
-    void everyEventIsInTheCatalogueAndTheCatalogueHasNoOther() throws IOException {
+    void eventCatalogueListsExactlyTheEventCodes() throws IOException {
         final String text = Files.readString(DOCS.resolve("EVENTS.md"));
-        final List<String> told = new ArrayList<>();
+        final List<String> documented = new ArrayList<>();
         final Matcher matcher =
                 Pattern.compile("\\| (RV\\d+) \\| (\\w+) \\| ([^|]+) \\|").matcher(text);
         while (matcher.find()) {
-            told.add(matcher.group(1) + " " + matcher.group(2) + " " + matcher.group(3));
+            documented.add(matcher.group(1) + " " + matcher.group(2) + " " + matcher.group(3));
         }
-        final List<String> real = new ArrayList<>();
+        final List<String> expected = new ArrayList<>();
         for (final EventCode code : EventCode.values()) {
-            real.add(code.id() + " " + code.name() + " " + code.description());
+            expected.add(code.id() + " " + code.name() + " " + code.description());
         }
-        assertEquals(real, told);
+        assertEquals(expected, documented);
     }
 
     @Test
-    void everyExampleConfigurationInTheDocsIsSound() throws IOException {
+    void everyExampleConfigurationInTheDocsIsValid() throws IOException {
         final Matcher matcher = Pattern.compile("```json config\n(.*?)```", Pattern.DOTALL)
                 .matcher(Files.readString(DOCS.resolve("CONFIG.md")));
-        int n = 0;
+        int examples = 0;
         while (matcher.find()) {
             final List<ValidationError> faults = new ArrayList<>();
             final Configuration configuration =
                     Configuration.read(matcher.group(1).getBytes(StandardCharsets.UTF_8), faults);
             assertEquals(List.of(), faults);
             assertTrue(!configuration.routes().isEmpty());
-            n++;
+            examples++;
         }
-        assertTrue(n >= 1);
+        assertTrue(examples >= 1);
     }
 
     @Test
@@ -79,15 +79,15 @@
                 String.join("\n", faults.stream().map(ValidationError::toString).toList()));
     }
 
-    /** Every Java file of every module, without what a build made. */
+    /** Every Java source file of every module, without generated files. */
     private static List<Path> javaFiles() throws IOException {
         final List<Path> files = new ArrayList<>();
         try (var modules = Files.list(Path.of(".."))) {
             for (final Path sources : modules.map(module -> module.resolve("src"))
                     .filter(Files::isDirectory)
                     .toList()) {
-                try (var all = Files.walk(sources)) {
-                    all.filter(f -> f.toString().endsWith(".java")).forEach(files::add);
+                try (var paths = Files.walk(sources)) {
+                    paths.filter(f -> f.toString().endsWith(".java")).forEach(files::add);
                 }
             }
         }
@@ -102,12 +102,12 @@
         return byName;
     }
 
-    /** Pages that tell what was once; the names in them are those of their time. */
+    /** Pages about past events, which use the names of their time. */
     private static final Set<String> HISTORY = Set.of("ROUNDS.md", "INCIDENTS.md");
 
     private static final Pattern NAME = Pattern.compile("`([A-Z][a-z]\\w+)(?:[.#](\\w+))?`");
 
-    /** Each class, member and test that a page names in code style exists. */
+    /** Every class, member and test that a page names in code style must exist. */
     @Test
     void everyNameInTheDocumentationExists() throws IOException {
         final Map<String, String> sources = sources();
@@ -129,8 +129,8 @@
     }
 
     private static List<Path> pages() throws IOException {
-        try (var all = Files.list(DOCS)) {
-            return all.filter(f -> f.toString().endsWith(".md"))
+        try (var files = Files.list(DOCS)) {
+            return files.filter(f -> f.toString().endsWith(".md"))
                     .filter(f -> !HISTORY.contains(f.getFileName().toString()))
                     .toList();
         }
@@ -143,7 +143,7 @@
 
     private static final Pattern CODE = Pattern.compile("\\{@code ([\\w.]+)}");
 
-    /** What a package says that it depends on is what its sources import; {@code common} may be used by all. */
+    /** Each package description names exactly the packages that its sources import; all may use {@code common}. */
     @Test
     void everyPackageNamesThePackagesItDependsOn() throws IOException {
         int seen = 0;
--- a/server/src/test/java/org/rowanvalve/server/process/InProcessWarmupTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/InProcessWarmupTest.java
@@ -12,7 +12,7 @@
 import org.rowanvalve.server.options.Options;
 import org.rowanvalve.server.origin.DefaultOriginProtocol;
 
-/** A rehearsal runs whole, stays inside the process, and gives up in time. */
+/** Tests that a warm-up completes inside the process or gives up in time. */
 class InProcessWarmupTest {
     private static Options options() {
         final List<ValidationError> faults = new ArrayList<>();
@@ -38,60 +38,62 @@
     }
 
     @Test
-    void requestsOfEachKindAreAnswered() throws Exception {
-        final InProcessWarmup play = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 20_000);
-        final List<Integer> got = new ArrayList<>();
-        assertTrue(play.prepare(1));
+    void requestsOfEachKindGetAResponse() throws Exception {
+        final InProcessWarmup warmup = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 20_000);
+        final List<Integer> statuses = new ArrayList<>();
+        assertTrue(warmup.prepare(1));
         assertEquals(
                 8,
-                play.play(
+                warmup.sendRequests(
                         8,
-                        (request, then) -> play.loop()
-                                .execute(() -> play.edge().edge().handle(request, response -> {
-                                    got.add(response.status());
-                                    then.run();
+                        (request, onResponse) -> warmup.loop()
+                                .execute(() -> warmup.edge().edge().handle(request, response -> {
+                                    statuses.add(response.status());
+                                    onResponse.run();
                                 }))));
-        play.stop();
-        assertEquals(java.util.Collections.nCopies(8, 200), got);
+        warmup.stop();
+        assertEquals(java.util.Collections.nCopies(8, 200), statuses);
     }
 
-    /** On a machine whose clock stands still while it computes, real time would never end the wait. */
+    /** On a machine whose real-time clock stops while it computes, a limit in real time would never end the wait. */
     @Test
     void oneThatNeverSettlesEndsByItsOwnClock() throws Exception {
-        final InProcessWarmup play = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 90_000);
-        final long from = System.nanoTime();
-        assertFalse(play.prepare(1, "no configuration"));
-        assertTrue(System.nanoTime() - from < 60_000_000_000L, "before its real time is over");
-        play.stop();
+        final InProcessWarmup warmup = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 90_000);
+        final long startNanos = System.nanoTime();
+        assertFalse(warmup.prepare(1, "no configuration"));
+        assertTrue(System.nanoTime() - startNanos < 60_000_000_000L, "the setup ends before its limit in real time");
+        warmup.stop();
     }
 
     @Test
-    void theClockNoLongerLeapsOnceItIsSettled() throws Exception {
-        final InProcessWarmup play = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 20_000);
-        final long from = System.nanoTime();
-        assertTrue(play.prepare(1));
-        final long settled = play.loop().now();
-        assertTrue(settled < 20_000 + (System.nanoTime() - from) / 1_000_000);
-        play.loop().execute(() -> {});
-        assertTrue(play.loop().now() - settled <= (System.nanoTime() - from) / 1_000_000);
-        play.stop();
+    void clockRunsInRealTimeOnceSetupIsComplete() throws Exception {
+        final InProcessWarmup warmup = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 20_000);
+        final long startNanos = System.nanoTime();
+        assertTrue(warmup.prepare(1));
+        final long settledMs = warmup.loop().now();
+        assertTrue(settledMs < 20_000 + (System.nanoTime() - startNanos) / 1_000_000);
+        warmup.loop().execute(() -> {});
+        assertTrue(warmup.loop().now() - settledMs <= (System.nanoTime() - startNanos) / 1_000_000);
+        warmup.stop();
     }
 
-    /** The loop may not skip its idle time before the nodes have started: then all of it would be spent at once. */
+    /** If the loop skipped idle time before the nodes have started, the whole limit would be used up at once. */
     @Test
-    void timeIsNotSkippedBeforeTheNodesHaveStarted() throws Exception {
+    void idleTimeIsNotSkippedBeforeTheNodesHaveStarted() throws Exception {
         for (int round = 0; round < 100; round++) {
-            final InProcessWarmup play = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 60_000);
+            final InProcessWarmup warmup =
+                    new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 60_000);
             assertTrue(
-                    play.prepare(1), "warm-up " + round + " at " + play.loop().now() + " ms of its own clock");
-            play.stop();
+                    warmup.prepare(1),
+                    "warm-up " + round + " at " + warmup.loop().now() + " ms of its own clock");
+            warmup.stop();
         }
     }
 
     @Test
-    void withoutTimeItIsGivenUp() throws Exception {
-        final InProcessWarmup play = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 0);
-        assertEquals(0, play.play(8, (request, then) -> then.run()));
-        play.stop();
+    void noRequestIsSentAfterTheTimeLimit() throws Exception {
+        final InProcessWarmup warmup = new InProcessWarmup(options(), new DefaultOriginProtocol(), l -> null, 0);
+        assertEquals(0, warmup.sendRequests(8, (request, onResponse) -> onResponse.run()));
+        warmup.stop();
     }
 }
--- a/server/src/test/java/org/rowanvalve/server/process/OptionWatcherTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/OptionWatcherTest.java
@@ -21,7 +21,7 @@
 import org.rowanvalve.server.options.Options;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** How changed options are compared, taken and refused. */
+/** Tests how changed options are compared, applied and rejected. */
 class OptionWatcherTest {
     private static final String FILE = """
         {"wire":"10.0.0.1:7000","http":"10.0.0.1:7001","data":"d","cell":"a/x","cells":["a/x","b/y"],"stores":["none"],
@@ -32,18 +32,18 @@
     private Path dir;
 
     private final EventJournal journal = new EventJournal(new CoreEventLoop(), 100);
-    private final List<Options> heard = new ArrayList<>();
+    private final List<Options> received = new ArrayList<>();
     private Path file;
     private OptionWatcher watcher;
     private Options first;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         file = Files.writeString(dir.resolve("o.json"), FILE);
         final OptionSource source = new OptionSource(Role.SHIELD, "--options", file.toString());
         first = source.read(new ArrayList<>());
         watcher = new OptionWatcher(source, first, journal);
-        watcher.listen(heard::add);
+        watcher.listen(received::add);
     }
 
     private List<String> events() {
@@ -60,14 +60,15 @@
         return options;
     }
 
-    private void compare(final String what, final String with, final List<String> taken, final List<String> needsStart)
+    private void compare(
+            final String replaced, final String replacement, final List<String> applied, final List<String> needsStart)
             throws Exception {
-        final String text = FILE.replace(what, with);
-        assertEquals(new OptionChange(taken, needsStart), OptionChange.between(first, read(text)), with);
+        final String text = FILE.replace(replaced, replacement);
+        assertEquals(new OptionChange(applied, needsStart), OptionChange.between(first, read(text)), replacement);
     }
 
     @Test
-    void whatARunningProcessTakesIsToldFromWhatNeedsAStart() throws Exception {
+    void reloadableOptionsAreDistinguishedFromThoseThatNeedARestart() throws Exception {
         compare("x", "x", List.of(), List.of());
         compare("\"first\":true", "\"first\":false", List.of(), List.of());
         compare("10.0.0.3:1", "10.0.0.4:1", List.of("seeds"), List.of());
@@ -93,14 +94,14 @@
     }
 
     @Test
-    void everyOptionIsComparedOrForTheStartAlone() {
-        final List<String> rest = new ArrayList<>(OptionFlags.names());
-        rest.removeAll(OptionChange.names());
-        assertEquals(List.of("seed-port", "first", "losses"), rest);
+    void everyOptionIsComparedExceptThoseOnlyUsedAtStart() {
+        final List<String> notCompared = new ArrayList<>(OptionFlags.names());
+        notCompared.removeAll(OptionChange.names());
+        assertEquals(List.of("seed-port", "first", "losses"), notCompared);
     }
 
     @Test
-    void aSignalTakesWhatMayChangeAndNamesTheRest() throws Exception {
+    void reloadAppliesReloadableOptionsAndReportsTheOthers() throws Exception {
         Files.writeString(file, FILE.replace("10.0.0.3:1", "10.0.0.4:1").replace("\"data\":\"d\"", "\"data\":\"e\""));
         watcher.reload();
         assertEquals(
@@ -108,13 +109,13 @@
                         "RV1008 changed options need a new start {options=data}",
                         "RV1006 changed options in force {changed=seeds}"),
                 events());
-        assertEquals(2, heard.size());
+        assertEquals(2, received.size());
         assertEquals(
-                new InetSocketAddress("10.0.0.4", 7000), heard.get(1).seeds().get(NodeId.of("n10-0-0-4")));
+                new InetSocketAddress("10.0.0.4", 7000), received.get(1).seeds().get(NodeId.of("n10-0-0-4")));
     }
 
     @Test
-    void aFaultyFileIsToldWithItsPlacesAndNothingOfItIsTaken() throws Exception {
+    void invalidFileIsReportedWithPathsAndNotApplied() throws Exception {
         Files.writeString(file, FILE.replace("10.0.0.3:1", "x").replace("\"purge-ms\":2000", "\"purge-ms\":-1"));
         watcher.reload();
         Files.writeString(file, "{\"wire");
@@ -127,36 +128,36 @@
                         + "/purge-ms: must be from 400 to 600000}",
                 events().get(0));
         assertTrue(events().get(2).contains("FILE: cannot be read"), events().get(2));
-        assertEquals(List.of(first), heard);
+        assertEquals(List.of(first), received);
         assertEquals(first, watcher.current());
     }
 
     @Test
-    void aChangeWithoutASignalIsSeenOnceItHasSettled() throws Exception {
-        watcher.look();
-        watcher.look();
+    void changedFileIsReloadedOnceItIsStable() throws Exception {
+        watcher.checkFile();
+        watcher.checkFile();
         assertEquals(List.of(), events());
         Files.writeString(file, "{\"wire\":");
-        watcher.look();
+        watcher.checkFile();
         Files.writeString(file, FILE.replace("\"wanted-losses\":1", "\"wanted-losses\":10"));
-        watcher.look();
-        assertEquals(List.of(), events(), "it may still be written");
-        watcher.look();
-        watcher.look();
+        watcher.checkFile();
+        assertEquals(List.of(), events(), "the file may still be being written");
+        watcher.checkFile();
+        watcher.checkFile();
         assertEquals(
                 List.of(
                         "RV1006 changed options in force {changed=wanted-losses}",
                         "RV1312 too few voters for the tolerated losses {why=3 electors bear the loss of 1, not of 10}"),
                 events());
-        assertEquals(10, heard.get(1).toleratedLosses());
+        assertEquals(10, received.get(1).toleratedLosses());
     }
 
     @Test
-    void leaseTimesStayThoseOfTheStart() throws Exception {
+    void reloadKeepsLeaseTimesOfTheStart() throws Exception {
         final Options next = read(FILE.replace("\"purge-ms\":2000", "\"purge-ms\":1000,\"d\":6000,\"m\":1200"));
-        final var live = next.reloadable(first.timings());
-        assertEquals(first.timings().leaseMs(), live.timings().leaseMs());
-        assertEquals(first.timings().marginMs(), live.timings().marginMs());
-        assertEquals(750, live.timings().maxViewAgeMs());
+        final var reloaded = next.reloadable(first.timings());
+        assertEquals(first.timings().leaseMs(), reloaded.timings().leaseMs());
+        assertEquals(first.timings().marginMs(), reloaded.timings().marginMs());
+        assertEquals(750, reloaded.timings().maxViewAgeMs());
     }
 }
--- a/server/src/test/java/org/rowanvalve/server/process/VoterDiscoveryTest.java
+++ b/server/src/test/java/org/rowanvalve/server/process/VoterDiscoveryTest.java
@@ -27,13 +27,13 @@
 import org.rowanvalve.server.options.Options;
 import org.rowanvalve.server.thread.CoreEventLoop;
 
-/** Who votes: at the first start the seeds, then what the disk says, or what others say. */
+/** Tests where the voters come from: the seeds at the first start, later the disk or another node. */
 class VoterDiscoveryTest {
     private static final List<String> FOUNDERS =
             List.of("n10-0-0-1@10.0.0.1:7000", "n10-0-0-2@10.0.0.2:7000", "n10-0-0-3@10.0.0.3:7000");
     private final CoreEventLoop loop = new CoreEventLoop();
     private final Map<String, byte[]> rows = new HashMap<>();
-    private final List<TcpTransport> open = new ArrayList<>();
+    private final List<TcpTransport> transports = new ArrayList<>();
     private final StableStorage storage = new StableStorage() {
         @Override
         public Map<String, byte[]> load() {
@@ -41,44 +41,44 @@
         }
 
         @Override
-        public void save(final Map<String, byte[]> all, final Consumer<Boolean> done) {
-            rows.putAll(all);
-            done.accept(true);
+        public void save(final Map<String, byte[]> newRows, final Consumer<Boolean> callback) {
+            rows.putAll(newRows);
+            callback.accept(true);
         }
     };
 
     @AfterEach
-    void end() {
-        open.forEach(TcpTransport::stop);
+    void tearDown() {
+        transports.forEach(TcpTransport::stop);
         loop.stop();
     }
 
-    private static Options options(final String... more) {
+    private static Options options(final String... moreArguments) {
         final List<ValidationError> faults = new ArrayList<>();
-        final List<String> words =
+        final List<String> arguments =
                 new ArrayList<>(List.of("--wire", "127.0.0.1:7000", "--http", "127.0.0.1:7001", "--data", "d"));
-        words.addAll(List.of(more));
-        final Options options = Options.read(Role.SHIELD, words.toArray(new String[0]), faults);
+        arguments.addAll(List.of(moreArguments));
+        final Options options = Options.read(Role.SHIELD, arguments.toArray(new String[0]), faults);
         assertEquals(List.of(), faults);
         return options;
     }
 
-    private TcpTransport net(final String name, final Map<NodeId, InetSocketAddress> known) {
+    private TcpTransport transport(final String name, final Map<NodeId, InetSocketAddress> known) {
         return new TcpTransport(NodeId.of(name), loop, new EventJournal(loop, 100), known, Map.of());
     }
 
-    private TcpTransport bound(final String name, final Map<NodeId, InetSocketAddress> known) throws Exception {
-        final TcpTransport net = net(name, known);
-        net.bind(new InetSocketAddress("127.0.0.1", 0), VoterDiscovery::blank);
-        open.add(net);
-        return net;
+    private TcpTransport bindTransport(final String name, final Map<NodeId, InetSocketAddress> known) throws Exception {
+        final TcpTransport transport = transport(name, known);
+        transport.bind(new InetSocketAddress("127.0.0.1", 0), VoterDiscovery::respondWithoutVoters);
+        transports.add(transport);
+        return transport;
     }
 
     @Test
-    void theFirstStartsSeedsVoteAndThatIsKept() throws Exception {
+    void seedsOfTheFirstStartBecomeTheStoredVoters() throws Exception {
         final String[] seeds = {"--stores", "none", "--seeds", "10.0.0.1:1,10.0.0.2:1,10.0.0.3:1", "--seed-port", "7000"
         };
-        final Options first = new VoterDiscovery(options(seeds), loop, net("me", Map.of()), storage).seat();
+        final Options first = new VoterDiscovery(options(seeds), loop, transport("me", Map.of()), storage).findVoters();
         assertEquals(FOUNDERS, first.founderAddresses());
         final Options later = new VoterDiscovery(
                         options(
@@ -91,44 +91,44 @@
                                 "--first",
                                 "false"),
                         loop,
-                        net("me", Map.of()),
+                        transport("me", Map.of()),
                         storage)
-                .seat();
-        assertEquals(FOUNDERS, later.founderAddresses(), "later seeds are others");
+                .findVoters();
+        assertEquals(FOUNDERS, later.founderAddresses(), "seeds of a later start are not the voters");
         assertEquals(
                 List.of("n10-0-0-1", "n10-0-0-2", "n10-0-0-3"),
                 later.quorum().voters().stream().map(NodeId::text).toList());
     }
 
     @Test
-    void electorsThatAreStatedAreNotLearned() throws Exception {
+    void configuredVotersAreNotDiscovered() throws Exception {
         final Options options = options("--id", "sh1", "--seeds", "st1@10.0.0.1:1,st2@10.0.0.2:1,sh1@127.0.0.1:7000");
-        assertSame(options, new VoterDiscovery(options, loop, net("me", Map.of()), storage).seat());
+        assertSame(options, new VoterDiscovery(options, loop, transport("me", Map.of()), storage).findVoters());
         assertEquals(Map.of(), rows);
     }
 
-    /** Whoever knows nothing yet is asked on; the first that knows is believed, and its word is kept. */
+    /** Seeds that do not know the voters yet are asked again; the first answer with voters is used and stored. */
     @Test
     void aNodeWithoutMemoryAsksWhoeverTheSeedsNameNow() throws Exception {
         loop.start();
-        final TcpTransport other = bound("o", Map.of());
+        final TcpTransport other = bindTransport("o", Map.of());
         final Options options =
                 options("--stores", "none", "--seeds", "o@127.0.0.1:" + other.boundPort(), "--first", "false");
-        final TcpTransport mine = bound("me", options.seeds());
-        final FutureTask<Options> seat =
-                new FutureTask<>(() -> new VoterDiscovery(options, loop, mine, storage).seat());
-        final CountDownLatch refused = new CountDownLatch(1);
+        final TcpTransport mine = bindTransport("me", options.seeds());
+        final FutureTask<Options> discovery =
+                new FutureTask<>(() -> new VoterDiscovery(options, loop, mine, storage).findVoters());
+        final CountDownLatch respondedWithoutVoters = new CountDownLatch(1);
         loop.execute(() -> mine.request(NodeId.of("o"), new VotersRequest(), 5000, reply -> {
             assertTrue(reply.as(VotersResponse.class)
                     .orElseThrow()
                     .foundingVoters()
                     .isEmpty());
-            refused.countDown();
+            respondedWithoutVoters.countDown();
         }));
-        assertTrue(refused.await(20, TimeUnit.SECONDS));
-        new Thread(seat).start();
-        other.setHandler((from, msg, back) -> back.accept(new VotersResponse(FOUNDERS, null)));
-        assertEquals(FOUNDERS, seat.get(20, TimeUnit.SECONDS).founderAddresses());
+        assertTrue(respondedWithoutVoters.await(20, TimeUnit.SECONDS));
+        new Thread(discovery).start();
+        other.setHandler((from, msg, callback) -> callback.accept(new VotersResponse(FOUNDERS, null)));
+        assertEquals(FOUNDERS, discovery.get(20, TimeUnit.SECONDS).founderAddresses());
         assertEquals(1, rows.size());
         assertEquals(
                 FOUNDERS,
--- a/testkit/src/test/java/org/rowanvalve/testkit/DiffTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/DiffTest.java
@@ -16,18 +16,18 @@
 import org.rowanvalve.testkit.scenario.Deployment;
 import org.rowanvalve.testkit.sim.SimCluster;
 
-/** What two nodes believe, compared: lag, contradiction, and what cannot be asked. */
+/** Tests the comparison of two nodes' states: lag, contradiction and unreachable nodes. */
 class DiffTest {
-    private static Map<?, ?> tell(final SimCluster cluster, final String node) {
+    private static Map<?, ?> status(final SimCluster cluster, final String node) {
         return Json.read(new StatusReport(cluster.node(node).node()).describe("all"), Map.class);
     }
 
     private static List<NodeDiff.Difference> diff(final SimCluster cluster, final String a, final String b) {
-        return NodeDiff.of(tell(cluster, a), tell(cluster, b));
+        return NodeDiff.of(status(cluster, a), status(cluster, b));
     }
 
     @Test
-    void nodesThatAgreeDifferInNothing() {
+    void nodesInAgreementHaveNoDifferences() {
         final SimCluster cluster = new SimCluster(Deployment.kilimanjaro(), 3).open();
         cluster.crowd().factor(0.01);
         cluster.itemOperator().stop();
@@ -81,15 +81,16 @@
                 NodeDiff.of(a, b).stream().map(NodeDiff.Difference::line).toList());
     }
 
-    private static String run(final int want, final String... args) throws Exception {
+    private static String run(final int expectedStatus, final String... args) throws Exception {
         final ByteArrayOutputStream err = new ByteArrayOutputStream();
-        final int rc = ControlCommand.run(args, new PrintStream(new ByteArrayOutputStream()), new PrintStream(err));
-        assertEquals(want, rc, err.toString());
+        final int exitStatus =
+                ControlCommand.run(args, new PrintStream(new ByteArrayOutputStream()), new PrintStream(err));
+        assertEquals(expectedStatus, exitStatus, err.toString());
         return err.toString().trim();
     }
 
     @Test
-    void whatCannotBeAskedIsOneLineAndTwo() throws Exception {
+    void unreachableNodeAndUsageErrorsExitWithStatusTwo() throws Exception {
         final String line = run(2, "--at", "127.0.0.1:1", "diff", "127.0.0.1:1", "127.0.0.1:1");
         assertTrue(line.startsWith("rwctl: could not ask:"), line);
         assertEquals(1, line.lines().count());
