--- a/data/src/main/java/org/rowanvalve/data/node/CoreComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/CoreComponents.java
@@ -25,7 +25,10 @@
 import org.rowanvalve.control.voting.VotingSetSearch;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What every node has, whatever its role: the learned items, its view of them, membership, and the way to write. */
+/**
+ * The components of every node, whatever its role: the learned items, the view of them, membership, and the services
+ * that write items.
+ */
 final class CoreComponents {
     final VotingConfiguration votingConfiguration;
     final ItemStore items;
@@ -42,7 +45,12 @@
     final OriginRegistry originRegistry;
     private final NodeSettings settings;
 
-    /** {@code self}: this node as it describes itself now; {@code learner}: takes a chosen item in. */
+    /**
+     * Creates the components without starting them.
+     *
+     * @param self supplies the current description of this node
+     * @param learner receives each chosen item
+     */
     CoreComponents(
             final NodeSettings settings,
             final Node.Runtime runtime,
@@ -119,7 +127,7 @@
         originRegistry = new OriginRegistry(loop, items, viewSynchronizer, proposer, journal, writeIds);
     }
 
-    /** For what is called only after construction. */
+    /** Lets lambdas read the field before it is assigned; they run only after construction. */
     private VoterLinks voterLinks() {
         return voterLinks;
     }
@@ -129,7 +137,7 @@
         viewSynchronizer.start();
     }
 
-    /** Starts the search for a later voting set, where voters may change. */
+    /** Starts the search for a later voting set if the settings allow voters to change. */
     void startVotingSetSearch() {
         if (settings.votersMayChange()) {
             votingSetSearch.start();
--- a/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
+++ b/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
@@ -8,11 +8,11 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What a dispatcher of origin requests needs from the rest of its node. */
+/** Connects an {@link OriginDispatcher} to the other components of its node. */
 final class DispatcherSurroundings {
     private DispatcherSurroundings() {}
 
-    /** {@code peers}: for a shield, the other shields that are heard from. */
+    /** {@code peers} supplies the other live shields on a shield, and an empty list on an edge. */
     static OriginDispatcher.Surroundings of(
             final NodeSettings settings, final CoreComponents core, final Supplier<List<NodeId>> peers) {
         return new OriginDispatcher.Surroundings(
--- a/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
@@ -7,7 +7,10 @@
 import org.rowanvalve.data.origin.OriginDispatcher;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What an edge has: clients' requests, and a way to origins for when no shield is heard from. */
+/**
+ * The components of an edge: the handling of client requests, and a dispatcher that sends requests to origins directly
+ * while it knows no live shield.
+ */
 final class EdgeComponents {
     private final OriginDispatcher dispatcher;
     private final Edge edge;
--- a/data/src/main/java/org/rowanvalve/data/node/FreezeDetector.java
+++ b/data/src/main/java/org/rowanvalve/data/node/FreezeDetector.java
@@ -8,7 +8,7 @@
 import org.rowanvalve.common.runtime.EventLoop;
 import org.rowanvalve.control.membership.ClockSkewMonitor;
 
-/** Drops a node's leases after a pause of the process, and while its clock's rate is beyond the margin. */
+/** Drops a node's leases after a pause of the process, and while its clock skew exceeds the allowed bound. */
 final class FreezeDetector {
     private static final long INTERVAL_MS = 100;
     private final EventLoop loop;
@@ -21,7 +21,7 @@
     private long lastCheckAt;
     private long wallOffset;
 
-    /** {@code onFreeze}: run after a pause, before the leases are dropped. */
+    /** {@code onFreeze} runs after a pause, before the leases are dropped. */
     FreezeDetector(
             final EventLoop loop,
             final LongSupplier wallClock,
@@ -45,13 +45,16 @@
         loop.scheduleRepeatedly(INTERVAL_MS, this::check);
     }
 
-    /** A gap in this loop's own time, or a wall clock that ran on without it, is a pause of the process. */
+    /**
+     * Detects a pause of the process: either the loop's clock shows a gap since the last check, or the wall clock and the
+     * loop's clock have diverged.
+     */
     private void check() {
         final long now = loop.now();
-        final long missingMs = now - lastCheckAt - INTERVAL_MS;
+        final long gapMs = now - lastCheckAt - INTERVAL_MS;
         final long wallShiftMs = Math.abs(wallClock.getAsLong() - now - wallOffset);
-        if (missingMs >= timings.marginMs() || wallShiftMs >= timings.marginMs()) {
-            journal.add(Event.of(EventCode.WOKE, "gap", missingMs, "shift", wallShiftMs));
+        if (gapMs >= timings.marginMs() || wallShiftMs >= timings.marginMs()) {
+            journal.add(Event.of(EventCode.WOKE, "gap", gapMs, "shift", wallShiftMs));
             onFreeze.run();
             clockSkew.clear();
             dropLeases.run();
--- a/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -12,15 +12,20 @@
 import org.rowanvalve.control.voting.VotingConfiguration;
 import org.rowanvalve.data.edge.Edge;
 
-/** A node's graceful shutdown: no new clients, leadership resigned, shards and vote handed over. */
+/**
+ * The graceful shutdown of a node: it accepts no new clients, resigns leadership, and hands over its shards and its vote.
+ */
 final class GracefulShutdown {
     private static final long LINGER_MS = 100;
-    /** A draining edge that still gets requests answers them: it ends once none has arrived for this time. */
+    /** A draining edge still answers requests; its shutdown completes once none has arrived for this time. */
     private static final long QUIET_MS = 250;
 
-    private static final long HANDOVER_TIMEOUT_MILLIS = 2500;
+    /** How long a shield without leases waits for a plan that no longer names it. */
+    private static final long HANDOVER_TIMEOUT_MS = 2500;
+
+    private static final long DRAIN_POLL_INTERVAL_MS = 50;
     /** How long a draining voter waits for its replacement. */
-    private static final long REPLACEMENT_TIMEOUT_MILLIS = 3500;
+    private static final long REPLACEMENT_TIMEOUT_MS = 3500;
 
     private final Node node;
     private final EventLoop loop;
@@ -56,7 +61,10 @@
         node.leader().ifPresentOrElse(components -> components.election().resign(continuation), continuation);
     }
 
-    /** An edge takes requests for a while longer, so that load balancers notice the shutdown and turn elsewhere. */
+    /**
+     * Closes the edge after the drain notice period. Until then the edge accepts requests, so that load balancers can
+     * notice the shutdown and send new connections to other edges.
+     */
     private void closeEdge(final Edge edge, final long timeoutMs, final long deadline, final Runnable callback) {
         loop.schedule(Math.min(node.settings().drainNoticeMs(), timeoutMs), () -> {
             edge.close();
@@ -80,13 +88,13 @@
                 callback.run();
             });
         } else {
-            loop.schedule(50, () -> drain(deadline, callback));
+            loop.schedule(DRAIN_POLL_INTERVAL_MS, () -> drain(deadline, callback));
         }
     }
 
     /**
-     * A shield's shutdown is complete once the plan no longer names it; with nobody to report to, it does not wait for
-     * long.
+     * Whether this shield has no leases and the placement plan no longer names it. If no leader updates the plan, the
+     * shield stops waiting {@link #HANDOVER_TIMEOUT_MS} after it gave up its last lease.
      */
     private boolean areShardsHandedOver() {
         if (node.shield().isEmpty()) {
@@ -98,10 +106,13 @@
         }
         return node.configuration().plan().assignments().stream()
                         .noneMatch(assignment -> assignment.owner().equals(self.text()))
-                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MILLIS;
+                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MS;
     }
 
-    /** A voter stays until the voting set without it has taken over; without a standby it need not wait. */
+    /**
+     * Whether a voting set without this node is confirmed. The node does not wait for one if there is no standby, or after
+     * {@link #REPLACEMENT_TIMEOUT_MS}.
+     */
     private boolean isVoterReplaced() {
         if (!wasVoter || !node.settings().votersMayChange()) {
             return true;
@@ -111,7 +122,7 @@
         final boolean replacedByOther = !votingConfiguration.isVoter(self) && view.isConfirmedInEpoch();
         final boolean noStandby =
                 votingConfiguration.isVoter(self) && !hasStandby(votingConfiguration, node.membership());
-        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MILLIS;
+        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MS;
         if (finished && !outcomeJournaled) {
             outcomeJournaled = true;
             journal.add(Event.of(
--- a/data/src/main/java/org/rowanvalve/data/node/LeaderComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/LeaderComponents.java
@@ -12,7 +12,7 @@
 import org.rowanvalve.control.reconfiguration.VotingSetPlanner;
 import org.rowanvalve.data.settings.NodeSettings;
 
-/** What a node has that may be elected: the election, and the duties that only the leader carries out. */
+/** The components of a node that can be elected leader: the election, and the tasks that only the leader runs. */
 final class LeaderComponents {
     private final LeaseManager leaseManager;
     private final LeaderElection election;
@@ -20,8 +20,10 @@
     private final TombstoneCollector tombstoneCollector;
 
     /**
-     * {@code eligible}: whether this node may be elected now; {@code resumptions}: how often its state was the only
-     * copy left.
+     * Creates the components without starting them.
+     *
+     * @param eligible whether this node may be elected now
+     * @param resumptions how many times this node resumed with the only remaining copy of the state
      */
     LeaderComponents(
             final NodeSettings settings,
--- a/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
+++ b/data/src/main/java/org/rowanvalve/data/node/MessageRouter.java
@@ -41,7 +41,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.runtime.Transport;
 
-/** Dispatches each message to the part of the node that handles it. */
+/** Dispatches each message to the component of the node that handles it. */
 final class MessageRouter {
     private final Node node;
     private final Consumer<ChosenItem> learner;
@@ -78,10 +78,10 @@
             voter.acceptor().handOverRecords(from, request, callback);
         } else if (message instanceof StandbyPrepareRequest request) {
             voter.keyedRecords()
-                    .prepareStandby(warm -> voter.acceptor()
+                    .prepareStandby(recordsReady -> voter.acceptor()
                             .prepareStandby(
                                     request.epoch(),
-                                    warm
+                                    recordsReady
                                             && node.viewSynchronizer().isFresh()
                                             && node.viewSynchronizer().isConfirmedInEpoch(),
                                     callback));
@@ -91,7 +91,10 @@
         return true;
     }
 
-    /** Messages about records of keyed requests. An outcome may be given in any epoch. */
+    /**
+     * Routes messages about the records of keyed requests. An outcome can be read in any epoch; all other messages must
+     * carry the current epoch.
+     */
     private boolean routeToRecords(final Message message, final Consumer<Message> callback) {
         if (message instanceof RecordReadRequest request) {
             inCurrentEpoch(request.epoch(), callback, () -> node.keyedRecords().onRead(request, callback));
@@ -109,9 +112,9 @@
         return true;
     }
 
-    /** Records are written in the present epoch only. */
-    private void inCurrentEpoch(final long epoch, final Consumer<Message> callback, final Runnable answer) {
-        node.acceptor().rejection(epoch).ifPresentOrElse(callback, answer);
+    /** Runs {@code handler} if {@code epoch} is the current epoch; otherwise responds with the rejection. */
+    private void inCurrentEpoch(final long epoch, final Consumer<Message> callback, final Runnable handler) {
+        node.acceptor().rejection(epoch).ifPresentOrElse(callback, handler);
     }
 
     private void routeOther(final NodeId from, final Message message, final Transport.Responder callback) {
--- a/data/src/main/java/org/rowanvalve/data/node/Node.java
+++ b/data/src/main/java/org/rowanvalve/data/node/Node.java
@@ -41,8 +41,9 @@
 import org.rowanvalve.data.settings.ReloadableSettings;
 
 /**
- * One process's control and data plane, assembled over its runtime; the programs and the simulator build the same.
- * Every node has the core; what else it has follows from its role. Everything here runs in the event loop's one thread.
+ * The control plane and data plane of one process. The programs and the simulator create the same node over different
+ * runtimes. Every node has the core components; its role determines the others. All methods must be called in the
+ * single thread of the event loop.
  */
 public final class Node {
     private final NodeSettings settings;
@@ -58,7 +59,7 @@
     private final FreezeDetector freezeDetector;
     private final MessageRouter messageRouter;
 
-    /** The outside of a node. {@code addressBook} learns where members can be reached. */
+    /** The environment that a node runs in. {@code addressBook} receives the addresses of members. */
     public record Runtime(
             EventLoop loop,
             Transport transport,
@@ -104,7 +105,7 @@
         }
     }
 
-    /** For what is called only after construction. */
+    /** Lets lambdas read the field before it is assigned; they run only after construction. */
     private GracefulShutdown shutdown() {
         return shutdown;
     }
@@ -112,14 +113,15 @@
     private boolean mayLead() {
         return core.viewSynchronizer.isFresh()
                 && !core.clockSkew.exceedsBound()
-                && voter.map(v -> core.voterLinks.mayLead(v.acceptor())).orElse(!settings.votersMayChange());
+                && voter.map(components -> core.voterLinks.mayLead(components.acceptor()))
+                        .orElse(!settings.votersMayChange());
     }
 
     private long resumptions() {
-        return voter.map(v -> v.acceptor().resumptions()).orElse(0L);
+        return voter.map(components -> components.acceptor().resumptions()).orElse(0L);
     }
 
-    /** Reads the node's state from disk and begins its work. */
+    /** Reads the node's state from disk and starts all components. */
     public void start() throws StorageException {
         if (voter.isPresent()) {
             voter.get().start();
@@ -149,8 +151,8 @@
     }
 
     /**
-     * From now on the seeds of changed settings are asked for the present voters; the caller has given their addresses
-     * to the transport. In the event loop.
+     * Replaces the seeds that this node asks for the current voters. The caller must already have passed the addresses
+     * to the transport. Must be called in the event loop.
      */
     public void updateSeeds(final Map<NodeId, InetSocketAddress> seeds) {
         core.votingSetSearch.seeds(List.copyOf(seeds.keySet()));
@@ -164,17 +166,23 @@
         return statusMonitor.current();
     }
 
-    /** Readiness from 0 to 100, so that a platform can choose by it. */
+    /** Returns the readiness from 0 to 100, by which a platform can choose between nodes. */
     public int readinessScore() {
         return statusMonitor.readinessScore();
     }
 
-    /** Handles a message of another node; {@code callback} gets the response, if there is one. In the event loop. */
+    /**
+     * Handles a message from another node and passes the response, if any, to {@code callback}. Must be called in the
+     * event loop.
+     */
     public void handle(final NodeId from, final Message message, final Transport.Responder callback) {
         messageRouter.route(from, message, callback);
     }
 
-    /** Graceful shutdown: no new clients, shards handed over while their fills are stopped, leadership resigned. */
+    /**
+     * Shuts the node down gracefully: it accepts no new clients, stops the fills of its shards and hands the shards over,
+     * and resigns leadership.
+     */
     public void shutDown(final long timeoutMs, final Runnable callback) {
         shutdown.start(timeoutMs, callback);
         if (votingConfiguration().isVoter(settings.self().id())) {
@@ -186,7 +194,7 @@
         return core.votingConfiguration;
     }
 
-    /** Takes settings that changed while this node runs; in the event loop. */
+    /** Applies settings that changed while this node runs. Must be called in the event loop. */
     public void reload(final ReloadableSettings next) {
         settings.reloadable().set(next);
         core.viewSynchronizer.timings(next.timings());
@@ -209,7 +217,7 @@
         return core.configurationService;
     }
 
-    /** Of an edge; other nodes have none. */
+    /** Returns the edge component; fails on a node that is not an edge. */
     public Edge edge() {
         return edge.orElseThrow().edge();
     }
@@ -234,22 +242,22 @@
         return core.membership;
     }
 
-    /** Of a shield; other nodes have none. */
+    /** Returns the lease holder; fails on a node that is not a shield. */
     public LeaseHolder leaseHolder() {
         return shield.orElseThrow().leaseHolder();
     }
 
-    /** Of a node that may be elected, as {@link NodeSettings#arbitrates} tells. */
+    /** Returns the election; fails on a node for which {@link NodeSettings#arbitrates} is false. */
     public LeaderElection election() {
         return leader.orElseThrow().election();
     }
 
-    /** Of a node that may vote, as {@link NodeSettings#mayVote} tells. */
+    /** Returns the acceptor; fails on a node for which {@link NodeSettings#mayVote} is false. */
     public Acceptor acceptor() {
         return voter.orElseThrow().acceptor();
     }
 
-    /** Of a node that may vote, as {@link NodeSettings#mayVote} tells. */
+    /** Returns the records of keyed requests; fails on a node for which {@link NodeSettings#mayVote} is false. */
     public KeyedRecordStore keyedRecords() {
         return voter.orElseThrow().keyedRecords();
     }
@@ -282,7 +290,7 @@
         return edge;
     }
 
-    /** The way to origins, of shields and edges. */
+    /** Returns the dispatcher of requests to origins, which only shields and edges have. */
     Optional<OriginDispatcher> dispatcher() {
         return shield.map(ShieldComponents::dispatcher).or(() -> edge.map(EdgeComponents::dispatcher));
     }
--- a/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
+++ b/data/src/main/java/org/rowanvalve/data/node/NodeStatusMonitor.java
@@ -4,7 +4,10 @@
 import org.rowanvalve.common.model.NodeStatus;
 import org.rowanvalve.common.model.Role;
 
-/** Readiness of a node, by what it holds and whom it hears from. */
+/**
+ * Computes the status of a node from its clock skew, the freshness of its view, its state as a voter, its leases and the
+ * live shields.
+ */
 final class NodeStatusMonitor {
     private final Node node;
     private final BooleanSupplier draining;
@@ -35,7 +38,7 @@
         return stateComplete && holdsLease && hasShield ? NodeStatus.READY : NodeStatus.PARTIAL;
     }
 
-    /** Readiness from 0 to 100, so that a platform can choose by it. */
+    /** Returns the readiness from 0 to 100, by which a platform can choose between nodes. */
     int readinessScore() {
         return switch (current()) {
             case READY -> 100 - Math.min(50, loadScore());
--- a/data/src/main/java/org/rowanvalve/data/node/ShieldComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/ShieldComponents.java
@@ -11,7 +11,7 @@
 import org.rowanvalve.data.settings.NodeSettings;
 import org.rowanvalve.data.shield.Shield;
 
-/** What a shield has: its leases, the way to origins, and the requests of edges. */
+/** The components of a shield: its leases, the dispatcher to origins, and the handling of requests from edges. */
 final class ShieldComponents {
     private final LeaseHolder leaseHolder;
     private final OriginDispatcher dispatcher;
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -20,18 +20,19 @@
 import org.rowanvalve.control.view.ViewSynchronizer;
 import org.rowanvalve.control.voting.VotingConfiguration;
 
-/** The state of one node, as JSON, for operators and for the comparison of two nodes. */
+/** Reports the state of one node as JSON, for operators and for the comparison of two nodes. */
 public final class StatusReport {
+    private static final String ITEM_TOPIC_PREFIX = "item ";
     private final Node node;
 
     public StatusReport(final Node node) {
         this.node = node;
     }
 
-    /** The part named by {@code topic}, as JSON. */
+    /** Returns one item as JSON if {@code topic} is {@code item} and an item id; otherwise the whole report. */
     public String describe(final String topic) {
-        if (topic.startsWith("item ")) {
-            final Item item = node.items().get(ItemId.parse(topic.substring(5)));
+        if (topic.startsWith(ITEM_TOPIC_PREFIX)) {
+            final Item item = node.items().get(ItemId.parse(topic.substring(ITEM_TOPIC_PREFIX.length())));
             return Json.write(Map.of(
                     "version",
                     item.version().number(),
@@ -50,7 +51,7 @@
         return node.acceptor().isVoting() ? "voting" : node.acceptor().hasState() ? "taking over" : "without memory";
     }
 
-    /** Shields that may become voters, where voters change. */
+    /** Returns the live shields that may become voters; empty if the settings do not allow voters to change. */
     private List<String> standbys() {
         return !node.settings().votersMayChange()
                 ? List.of()
@@ -62,7 +63,7 @@
                         .toList();
     }
 
-    /** Everything, in the order in which operators read it; names of members never change. */
+    /** Returns the whole report in the order in which operators read it. The JSON member names must never change. */
     public Map<String, Object> toMap() {
         final Map<String, Object> report = new LinkedHashMap<>();
         addIdentity(report);
@@ -137,7 +138,7 @@
         report.put("weights", plan.weights());
     }
 
-    /** By shard, its state and token; empty on nodes that hold none. */
+    /** Returns the state and token of each lease by shard; empty on nodes that hold no leases. */
     private Map<String, Object> leases() {
         final Map<String, Object> leases = new TreeMap<>();
         node.shield()
--- a/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterComponents.java
@@ -14,7 +14,8 @@
 import org.rowanvalve.data.settings.NodeSettings;
 
 /**
- * What a node has that votes or may become a voter: the acceptor, its records of keyed requests, and what they need.
+ * The components of a node that is a voter or may become one: the acceptor, the records of keyed requests, the recovery
+ * of unfinished writes, and the server of views.
  */
 final class VoterComponents {
     private static final long COLLECTION_INTERVAL_MS = 1000;
--- a/data/src/main/java/org/rowanvalve/data/node/VoterLinks.java
+++ b/data/src/main/java/org/rowanvalve/data/node/VoterLinks.java
@@ -18,7 +18,8 @@
 import org.rowanvalve.data.settings.NodeSettings;
 
 /**
- * What the present voting set means for a node's connections: where heartbeats go, and where the voters are reached.
+ * Derives a node's connections from the current voting set: the targets of heartbeats, the addresses of the voters, and
+ * the node that sequences updates.
  */
 final class VoterLinks {
     private static final long MAX_SILENCE_MS = 1500;
@@ -38,7 +39,7 @@
         this.votingSetSearch = votingSetSearch;
     }
 
-    /** Heartbeats go to the present voters, and to the seeds too while none of those answers. */
+    /** Returns the current voters, and also the seeds while no voter responds. */
     List<NodeId> heartbeatTargets() {
         if (!settings.votersMayChange()) {
             return settings.seeds();
@@ -50,7 +51,7 @@
                         .toList();
     }
 
-    /** The voters' addresses come with the set that names them. */
+    /** Adds the addresses that the voting set states for its voters, except for voters that are already known members. */
     void updateAddresses(final Consumer<Member> addressBook) {
         votingConfiguration.addresses().stream().map(VoterAddress::parse).forEach(address -> {
             if (membership.get(address.id()) == null) {
@@ -60,7 +61,7 @@
         });
     }
 
-    /** The other shields that are heard from. */
+    /** Returns the other live shields. */
     List<NodeId> otherShields() {
         return membership.liveMembers(Role.SHIELD).stream()
                 .map(Member::id)
@@ -68,7 +69,10 @@
                 .toList();
     }
 
-    /** The leader sequences operators' updates, so that several at once are one write of the ledger. */
+    /**
+     * Returns the leader, which sequences operators' updates so that several concurrent updates become one write of the
+     * ledger. Empty if this node is the leader, or no leader is known to be alive.
+     */
     Optional<NodeId> updateSequencer(final Item leadershipItem) {
         final Leadership current = Leadership.of(leadershipItem);
         if (current.leader().isEmpty() || current.released()) {
@@ -80,7 +84,7 @@
                 : Optional.of(id);
     }
 
-    /** A shield that does not vote is not the leader either. */
+    /** If voters may change, only a node that currently votes may lead. */
     boolean mayLead(final Acceptor acceptor) {
         return !settings.votersMayChange() || acceptor.isVoting();
     }
--- a/data/src/main/java/org/rowanvalve/data/node/package-info.java
+++ b/data/src/main/java/org/rowanvalve/data/node/package-info.java
@@ -1,6 +1,6 @@
 /**
- * One node assembled from the parts that its role has, and its lifecycle: start, status, reload, pause of the process,
- * shutdown.
+ * Assembles a node from the components of its role, and manages its lifecycle: start, status, reload, recovery from a
+ * pause of the process, and shutdown.
  *
  * <p>Depends on {@code control.config}, {@code control.consensus}, {@code control.election}, {@code control.json},
  * {@code control.lease}, {@code control.membership}, {@code control.operator}, {@code control.placement}, {@code
