--- a/common/src/main/java/org/rowanvalve/common/message/AcceptResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/AcceptResponse.java
@@ -5,8 +5,10 @@
 import org.rowanvalve.common.model.Ballot;
 
 /**
- * {@code accepted}: whether the value was accepted and synced; {@code highestBallot}: the highest ballot promised for
- * this register, which a rejected proposer has to exceed.
+ * The response to an {@link AcceptRequest}.
+ *
+ * @param accepted whether the value was accepted and synced to disk
+ * @param highestBallot the highest ballot promised for this register, which a rejected proposer has to exceed
  */
 @JsonTypeName("Accepted")
 public record AcceptResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/AttemptGrantResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/AttemptGrantResponse.java
@@ -2,6 +2,10 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** {@code count}: how many more origins may get it; they are reserved for the one that asked. */
+/**
+ * The response to an {@link AttemptGrantRequest}.
+ *
+ * @param count how many more origins the request may be sent to; these attempts are reserved for the node that asked
+ */
 @JsonTypeName("AttemptsGranted")
 public record AttemptGrantResponse(int count) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/CancelRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/CancelRequest.java
@@ -5,10 +5,11 @@
 import org.rowanvalve.common.model.CancelCause;
 
 /**
- * An edge takes back a {@link ForwardRequest}, named by the edge's start and the request's serial: nobody waits for its
- * response. It may come twice, after the response, or before the request itself. It has no answer; one that is lost is
- * made up for by the request's own time-out. Only members of {@link org.rowanvalve.common.model.Member#CANCEL_VERSION} or
- * later take it.
+ * An edge cancels a {@link ForwardRequest} because no client waits for its response any longer. The edge's incarnation
+ * and the request's serial identify the request. A cancellation may arrive twice, after the response, or before the
+ * request itself. Its sender does not depend on a response; if a cancellation is lost, the request ends by its own
+ * timeout. Only members of version {@link org.rowanvalve.common.model.Member#CANCEL_VERSION} or later accept this
+ * message.
  */
 @JsonTypeName("Cancel")
 public record CancelRequest(@JsonProperty("boot") String incarnation, long serial, CancelCause cause)
--- a/common/src/main/java/org/rowanvalve/common/message/DigestRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/DigestRequest.java
@@ -4,8 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * Asks a voter whether it holds any item that the sender lacks; {@code digest} is over all items of the sender. {@code
- * bucketCount}: into how many buckets the answer should divide the items, the least number where it is left out.
+ * Asks a voter whether its items equal those of the sender.
+ *
+ * @param digest the digest over all items of the sender
+ * @param bucketCount the number of buckets into which the response divides the items; the smallest number if null
  */
 @JsonTypeName("Query")
 public record DigestRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/DigestResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/DigestResponse.java
@@ -5,8 +5,11 @@
 import java.util.List;
 
 /**
- * {@code matches}: whether the voter holds exactly the items of the request. {@code bucketSums}: where it does not, its
- * checksum of each bucket, so that only those that differ are compared.
+ * The response to a {@link DigestRequest}.
+ *
+ * @param matches whether the voter has exactly the items of the sender
+ * @param bucketSums if the items differ, the voter's checksum of each bucket, so that only differing buckets are
+ *     compared
  */
 @JsonTypeName("Same")
 public record DigestResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/EpochMismatchResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/EpochMismatchResponse.java
@@ -4,8 +4,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * A refusal: this voter votes in another epoch. {@code votingSet}: the chosen set of that epoch, none for the founding
- * set.
+ * Rejects a request because this voter votes in another epoch.
+ *
+ * @param epoch the epoch of this voter
+ * @param votingSet the chosen voting set of that epoch; null for the founding set
  */
 @JsonTypeName("OtherEpoch")
 public record EpochMismatchResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/FenceAckRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/FenceAckRequest.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * From the leader to a holder: the waits are over that protect these shards from an owner whose fills could not be
- * stopped. Until then the new holder may not fill them.
+ * Sent by the leader to a lease holder when the waiting times are over that protect these shards from a previous owner
+ * whose fills could not be stopped. Until then the new holder must not fill these shards.
  */
 @JsonTypeName("FenceAck")
 public record FenceAckRequest(long term, List<Integer> shards) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/ForwardRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardRequest.java
@@ -7,13 +7,17 @@
 import org.rowanvalve.common.model.VersionVector;
 
 /**
- * An edge forwards a request to a shield. {@code requestId}: the client's own name for this attempt; {@code
- * passThrough}: to be passed through without a lease; {@code retry}: another origin may have got this request before;
- * {@code headers}: the client's other headers; {@code attempts}: to how many origins the receiver may send it, each
- * further one being asked for by {@link AttemptGrantRequest}; a sender that states none leaves it to the route; {@code
- * incarnation}: the sender's start, by which it may take the request back with {@link CancelRequest}; {@code
- * routeVersion}: the version of the route by which the sender forwards it; {@code service}: the service that this
- * version gives it to, where the sender's view is confirmed.
+ * An edge forwards a request to a shield.
+ *
+ * @param requestId the client's id of this attempt
+ * @param passThrough whether the request is to be passed through without a lease
+ * @param retry whether another origin may already have received this request
+ * @param headers the other headers of the client
+ * @param attempts how many origins the receiver may send the request to; it asks for each further one by {@link
+ *     AttemptGrantRequest}. If null, the route decides.
+ * @param incarnation the incarnation of the sender, by which it can cancel the request with a {@link CancelRequest}
+ * @param routeVersion the version of the route by which the sender forwards the request
+ * @param service the service that this version of the route selects, if the sender's view is confirmed
  */
 @JsonTypeName("Fill")
 public record ForwardRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ForwardResponse.java
@@ -8,8 +8,10 @@
 import org.rowanvalve.common.model.VersionVector;
 
 /**
- * The answer to a {@link ForwardRequest}. {@code service}: which one answered, where a route is split over several;
- * {@code unusedAttempts}: of the attempts given, how many were surely not made and never will be.
+ * The response to a {@link ForwardRequest}.
+ *
+ * @param service the service that responded, if the route is split over several
+ * @param unusedAttempts how many of the granted attempts were certainly not made and never will be
  */
 @JsonTypeName("Filled")
 public record ForwardResponse(
@@ -25,7 +27,7 @@
         String service,
         @JsonProperty("unused") int unusedAttempts)
         implements Message {
-    /** The reason of a refusal: the shield has not learned a version by which the edge goes. */
+    /** The reason of a rejection: the shield has not yet learned a version of an item that the edge uses. */
     public static final String BEHIND = "the holder's frame is behind";
 
     public boolean isBehind() {
--- a/common/src/main/java/org/rowanvalve/common/message/HeartbeatRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/HeartbeatRequest.java
@@ -5,8 +5,13 @@
 import org.rowanvalve.common.model.Member;
 
 /**
- * A node reports that it is alive. {@code listId}, {@code sinceChange}: the member list of the asked voter that this
- * node has, and the last change in it; a node that states none is answered by {@code memberDigest}.
+ * A node reports that it is alive.
+ *
+ * @param memberDigest the digest over the members that this node knows, if it states no {@code listId}; if it equals
+ * the
+ *     digest of the receiving voter, the response omits the descriptions of the members
+ * @param listId the id of the receiving voter's member list that this node has
+ * @param sinceChange the last change of that list that this node has
  */
 @JsonTypeName("Beat")
 public record HeartbeatRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/HeartbeatResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/HeartbeatResponse.java
@@ -5,10 +5,14 @@
 import java.util.List;
 
 /**
- * {@code reports}: all members, for a node that stated no list. Else what changed in {@code listId} up to {@code
- * lastChange}, and by place the silence of each member but edges in units of {@link #SILENCE_UNIT_MS} ms, rounded up,
- * {@link #LOST_UNITS} for one that is lost; of edges only those in {@code edgeSilences}: all others were heard from
- * within {@link #DEFAULT_EDGE_SILENCE_MS}.
+ * The response to a {@link HeartbeatRequest}. A node that states no member list receives all members in
+ * {@code reports}. Any other node receives the changes and the times since the last heartbeats.
+ *
+ * @param changes the changes of the list {@code listId} up to {@code lastChange}
+ * @param silences the time since the last heartbeat of each member other than an edge, by position in the list, in
+ *     units of {@link #SILENCE_UNIT_MS} ms, rounded up; {@link #LOST_UNITS} for a lost member
+ * @param edgeSilences the same for edges; an edge that is not included sent a heartbeat within the last {@link
+ *     #DEFAULT_EDGE_SILENCE_MS} ms
  */
 @JsonTypeName("Beaten")
 public record HeartbeatResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/KeyedRecord.java
+++ b/common/src/main/java/org/rowanvalve/common/message/KeyedRecord.java
@@ -8,8 +8,11 @@
 import org.rowanvalve.common.model.Hash;
 
 /**
- * The record of one keyed request: an intent, or an outcome. {@code attemptId} names one attempt of one process; {@code
- * notSent}: nothing of that attempt was sent to an origin.
+ * The record of one keyed request: an intent or an outcome.
+ *
+ * @param attemptId identifies one attempt of one process
+ * @param notSent whether nothing of that attempt was sent to an origin
+ * @param outcome the outcome; null for an intent
  */
 public record KeyedRecord(
         String key,
@@ -25,7 +28,7 @@
         return new KeyedRecord(key, shard, token, requestDigest, attemptId, notSent, null);
     }
 
-    /** The same without the body of its outcome; that there is one is still said. */
+    /** Returns this record without the headers and body of its outcome, but with the outcome's status. */
     public KeyedRecord withoutBody() {
         return outcome == null
                 ? this
@@ -39,7 +42,7 @@
                         KeyedOutcome.bodyElsewhere(outcome.status()));
     }
 
-    /** The id of an attempt: a part that names the process, and the number of the attempt among all of that process. */
+    /** Returns an attempt id that combines a hash of the process with the number of the attempt in that process. */
     public static long attemptId(final String process, final long number) {
         return (Hash.hash64(process) << ATTEMPT_NUMBER_BITS) + number;
     }
@@ -48,12 +51,12 @@
         return attemptId >> ATTEMPT_NUMBER_BITS == otherAttemptId >> ATTEMPT_NUMBER_BITS;
     }
 
-    /** What one replica stores once this record has come to it, in whatever order records arrive. */
+    /** Returns the record that a replica stores after this record arrived; records may arrive in any order. */
     public KeyedRecord mergedOver(final KeyedRecord stored) {
         return stored == null || outcome != null || !isObsoleteAfter(stored) ? this : stored;
     }
 
-    /** Whether a replica that holds {@code stored} has nothing to learn from this record, which has no outcome. */
+    /** Whether this record, which has no outcome, adds nothing to a replica that has {@code stored}. */
     private boolean isObsoleteAfter(final KeyedRecord stored) {
         final boolean sameToken = stored.token.equals(token);
         final boolean sameAttempt = sameToken && stored.attemptId == attemptId;
@@ -67,20 +70,21 @@
     }
 
     /** Merges several replicas' records of one key: an attempt counts as not sent only if no other attempt is known. */
-    public static KeyedRecord resolve(final Collection<KeyedRecord> all) {
-        final KeyedRecord top =
-                all.stream().max(Comparator.comparing(KeyedRecord::token)).orElseThrow();
-        final List<KeyedRecord> last = all.stream()
-                .filter(keyedRecord -> keyedRecord.token.equals(top.token))
+    public static KeyedRecord resolve(final Collection<KeyedRecord> replicaRecords) {
+        final KeyedRecord highest = replicaRecords.stream()
+                .max(Comparator.comparing(KeyedRecord::token))
+                .orElseThrow();
+        final List<KeyedRecord> latest = replicaRecords.stream()
+                .filter(keyedRecord -> keyedRecord.token.equals(highest.token))
                 .toList();
-        return all.stream()
+        return replicaRecords.stream()
                 .filter(keyedRecord -> keyedRecord.outcome != null)
                 .findFirst()
-                .or(() -> last.stream()
+                .or(() -> latest.stream()
                         .filter(keyedRecord -> !keyedRecord.notSent
-                                && last.stream().noneMatch(c -> c.notSent && c.attemptId == keyedRecord.attemptId))
+                                && latest.stream().noneMatch(c -> c.notSent && c.attemptId == keyedRecord.attemptId))
                         .findFirst())
-                .or(() -> last.stream().filter(KeyedRecord::notSent).findFirst())
-                .orElse(top);
+                .or(() -> latest.stream().filter(KeyedRecord::notSent).findFirst())
+                .orElse(highest);
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/message/LeaseGrantRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LeaseGrantRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The leader grants a holder the leases that the plan of {@code planEpoch} gives it. A new lease is uncertain until a
- * renewal of it is answered.
+ * The leader grants a holder the leases that the placement plan of {@code planEpoch} assigns to it. A new lease is
+ * uncertain until the leader confirms a renewal of it.
  */
 @JsonTypeName("Place")
 public record LeaseGrantRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/LeaseRenewRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LeaseRenewRequest.java
@@ -5,8 +5,10 @@
 import java.util.List;
 
 /**
- * A holder asks to renew its leases. {@code weightsSerial}: of the rate limit shares that it goes by; {@code demand}:
- * the requests to origins that it wanted to send since the last renewal.
+ * A holder asks to renew its leases.
+ *
+ * @param weightsSerial the serial of the rate limit shares that the holder applies
+ * @param demand the requests to origins that the holder wanted to send since the last renewal
  */
 @JsonTypeName("Renew")
 public record LeaseRenewRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/LeaseRenewResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LeaseRenewResponse.java
@@ -5,8 +5,11 @@
 import java.util.List;
 
 /**
- * {@code accepted}: whether the asked node leads in this term; {@code renewed}: leases that go on, valid from when the
- * request was sent; {@code stale}: leases that are another holder's by now.
+ * The response to a {@link LeaseRenewRequest}.
+ *
+ * @param accepted whether the responding node is the leader in this term
+ * @param renewed the renewed leases, whose validity starts at the time when the request was sent
+ * @param stale the leases that now belong to another holder
  */
 @JsonTypeName("Renewed")
 public record LeaseRenewResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/LeaseRevokeResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LeaseRevokeResponse.java
@@ -5,8 +5,10 @@
 import java.util.List;
 
 /**
- * {@code stoppedShards}: shards of which no fill runs any more; {@code allStopped}: whether these are all that were
- * asked for.
+ * The response to a {@link LeaseRevokeRequest}.
+ *
+ * @param allStopped whether {@code stoppedShards} contains all requested shards
+ * @param stoppedShards the shards for which no fill is running any longer
  */
 @JsonTypeName("Revoked")
 public record LeaseRevokeResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/LoadReport.java
+++ b/common/src/main/java/org/rowanvalve/common/message/LoadReport.java
@@ -4,6 +4,6 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.Map;
 
-/** One-way: how many requests of the sender each of these origins has now. */
+/** One-way message with the number of the sender's requests that are in progress at each of these origins. */
 @JsonTypeName("Busy")
 public record LoadReport(@JsonProperty("counts") Map<String, Integer> requestsByOrigin) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/MemberReport.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MemberReport.java
@@ -5,7 +5,7 @@
 import org.rowanvalve.common.model.NodeId;
 import org.rowanvalve.common.model.NodeStatus;
 
-/** What a voter has heard of one member: when it was last heard from, in ms ago, and how it described itself. */
+/** What a voter knows about one member: the time since its last heartbeat in ms, and its description of itself. */
 public record MemberReport(
         NodeId id,
         @JsonProperty("silence") long silenceMs,
--- a/common/src/main/java/org/rowanvalve/common/message/MembershipChange.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MembershipChange.java
@@ -4,7 +4,9 @@
 import org.rowanvalve.common.model.Member;
 
 /**
- * One change of a member list. {@code position}: the member's place in it, for good, below zero for edges; without a
- * member, the one at this place is gone.
+ * One change of a member list.
+ *
+ * @param position the permanent position of the member in the list; negative for edges
+ * @param member the member at this position; null if it was removed
  */
 public record MembershipChange(@JsonProperty("at") int position, Member member) {}
--- a/common/src/main/java/org/rowanvalve/common/message/Message.java
+++ b/common/src/main/java/org/rowanvalve/common/message/Message.java
@@ -1,6 +1,6 @@
 package org.rowanvalve.common.message;
 
-/** A message between processes. Unknown members are ignored; an unknown type ends the connection. */
+/** A message between processes. Unknown CBOR members are ignored; an unknown type closes the connection. */
 public sealed interface Message
         permits AcceptRequest,
                 AcceptResponse,
--- a/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageCodec.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import org.rowanvalve.common.model.NodeId;
 
-/** Packs and unpacks the messages between processes as CBOR. */
+/** Encodes and decodes the messages between processes as CBOR. */
 public final class MessageCodec {
     public static final int PROTOCOL_VERSION = 1;
     public static final int MAX_FRAME_BYTES = 4 << 20;
@@ -18,7 +18,7 @@
 
     private MessageCodec() {}
 
-    /** The envelope of a message: version of the format, id of the message, id of the message that it answers. */
+    /** The envelope of a message. {@code inReplyTo} is the id of the request to which the message responds. */
     public record Frame(
             @JsonProperty("v") int version,
             long id,
@@ -27,15 +27,15 @@
             @JsonProperty("msg") Message message) {}
 
     private static ObjectMapper createMapper() {
-        final CBORMapper map = CBORMapper.builder()
+        final CBORMapper mapper = CBORMapper.builder()
                 .disable(MapperFeature.AUTO_DETECT_IS_GETTERS)
                 .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                 .defaultPropertyInclusion(
                         JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL))
                 .build();
-        map.addMixIn(Message.class, Typed.class);
-        map.registerSubtypes(Message.class.getPermittedSubclasses());
-        return map;
+        mapper.addMixIn(Message.class, Typed.class);
+        mapper.registerSubtypes(Message.class.getPermittedSubclasses());
+        return mapper;
     }
 
     @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
@@ -60,13 +60,13 @@
 
     /** Decodes the envelope with its message. */
     public static Frame decodeFrame(final byte[] data) throws MessageFormatException {
-        final Frame e = decode(data, Frame.class);
-        if (e.version() != PROTOCOL_VERSION) {
-            throw new MessageFormatException("envelope version " + e.version() + " is not spoken here", null);
+        final Frame frame = decode(data, Frame.class);
+        if (frame.version() != PROTOCOL_VERSION) {
+            throw new MessageFormatException("unsupported envelope version " + frame.version(), null);
         }
-        if (e.message() == null || e.from() == null) {
+        if (frame.message() == null || frame.from() == null) {
             throw new MessageFormatException("envelope lacks a member", null);
         }
-        return e;
+        return frame;
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/message/MessageFormatException.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MessageFormatException.java
@@ -1,8 +1,8 @@
 package org.rowanvalve.common.message;
 
-/** Bytes that are not a message, or not one of a known type. */
+/** Thrown if bytes cannot be decoded to a message of a known type. */
 public final class MessageFormatException extends Exception {
-    public MessageFormatException(final String text, final Throwable why) {
-        super(text, why);
+    public MessageFormatException(final String text, final Throwable cause) {
+        super(text, cause);
     }
 }
--- a/common/src/main/java/org/rowanvalve/common/message/MissingItemsRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MissingItemsRequest.java
@@ -8,8 +8,9 @@
 import org.rowanvalve.common.model.Version;
 
 /**
- * Asks for the chosen items of {@code buckets} that are newer than the sender's {@code versions}. {@code bucketCount}: of
- * how many buckets, the least number where it is left out.
+ * Asks for the chosen items of {@code buckets} that are newer than the sender's {@code versions}.
+ *
+ * @param bucketCount the number of buckets into which the items are divided; the smallest number if null
  */
 @JsonTypeName("Vers")
 public record MissingItemsRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/MissingItemsResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/MissingItemsResponse.java
@@ -6,8 +6,11 @@
 import org.rowanvalve.common.model.ItemId;
 
 /**
- * {@code items}: chosen items that the sender lacked; {@code complete}: whether these are all; {@code wanted}: items
- * that the voter lacks itself and asks to be sent.
+ * The response to a {@link MissingItemsRequest}.
+ *
+ * @param items the chosen items that the requesting node lacks
+ * @param complete whether {@code items} contains all of them
+ * @param wanted the items that the responding voter lacks and asks the requesting node to send
  */
 @JsonTypeName("Give")
 public record MissingItemsResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/OpenForwardsRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/OpenForwardsRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Asked of the edge that sent these {@link ForwardRequest}s: which of them does it still wait for? Named by the edge's start
- * and the requests' serials. Only an edge that states its start in its requests is asked.
+ * Asks the edge that sent these {@link ForwardRequest}s for which of them it still waits. The edge's incarnation and
+ * the requests' serials identify them. Only an edge that states its incarnation in its requests is asked.
  */
 @JsonTypeName("OpenForwards")
 public record OpenForwardsRequest(@JsonProperty("boot") String incarnation, List<Long> serials) implements Message {
--- a/common/src/main/java/org/rowanvalve/common/message/OpenForwardsResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/OpenForwardsResponse.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 
-/** The serials, of those asked for, whose responses the edge still waits for. */
+/** The requested serials for whose responses the edge still waits. */
 @JsonTypeName("OpenForwardsKnown")
 public record OpenForwardsResponse(List<Long> serials) implements Message {
     public OpenForwardsResponse {
--- a/common/src/main/java/org/rowanvalve/common/message/OutcomeRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/OutcomeRequest.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** Fetches the outcome of one key, with its body. */
+/** Asks a replica for the outcome of one key, including its body. */
 @JsonTypeName("KeepOutcome")
 public record OutcomeRequest(String key) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/OutcomeResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/OutcomeResponse.java
@@ -3,6 +3,6 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** {@code keyedRecord}: with its outcome, or none where this replica has no outcome of the key. */
+/** The record of the requested key with its outcome; null if this replica has no outcome for the key. */
 @JsonTypeName("KeptOutcome")
 public record OutcomeResponse(@JsonProperty("note") KeyedRecord keyedRecord) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/PrepareResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/PrepareResponse.java
@@ -6,8 +6,12 @@
 import org.rowanvalve.common.model.Item;
 
 /**
- * {@code promised}: whether the promise was made and synced; {@code highestBallot}: the highest one promised; {@code
- * acceptedBallot} and {@code item}: the value last accepted, which a proposer must take over.
+ * The response to a {@link PrepareRequest}.
+ *
+ * @param promised whether the promise was made and synced to disk
+ * @param highestBallot the highest ballot promised
+ * @param acceptedBallot the ballot of the value that this voter accepted last
+ * @param item the value that this voter accepted last, which the proposer must adopt
  */
 @JsonTypeName("Promise")
 public record PrepareResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsRequest.java
@@ -4,8 +4,9 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * One replica asks another for the checksums of its buckets; with {@code endEra} the era of the asked one ends, once
- * for each {@code requester}.
+ * One replica asks another for the checksums of its buckets.
+ *
+ * @param endEra whether the responding replica ends its era, which it does once for each {@code requester}
  */
 @JsonTypeName("KeepSums")
 public record RecordChecksumsRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordChecksumsResponse.java
@@ -7,8 +7,10 @@
 import org.rowanvalve.common.model.FencingToken;
 
 /**
- * {@code complete}: whether this replica lacks none of its records; {@code tokenFloors}: by shard the highest token
- * that it was read with.
+ * The response to a {@link RecordChecksumsRequest}.
+ *
+ * @param complete whether this replica has lost none of its records
+ * @param tokenFloors by shard, the highest fencing token with which this replica was read
  */
 @JsonTypeName("KeptSums")
 public record RecordChecksumsResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordHandoverRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordHandoverRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Like {@link RegisterHandoverRequest} for records of keyed requests: those of the buckets whose {@code checksums}
- * differ, after the key {@code afterKey}; answered by one page.
+ * The equivalent of {@link RegisterHandoverRequest} for records of keyed requests. Asks for one page of the records in
+ * the buckets whose {@code checksums} differ, after the key {@code afterKey}.
  */
 @JsonTypeName("HandoverRecords")
 public record RecordHandoverRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordPageRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordPageRequest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Asks for records of the named buckets, in order of bucket and key, after the key {@code afterKey} of the first
- * bucket.
+ * Asks for a page of the records in {@code buckets}, ordered by bucket and key. The page starts after the key {@code
+ * afterKey} of the first bucket.
  */
 @JsonTypeName("KeepCells")
 public record RecordPageRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordPageResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordPageResponse.java
@@ -4,7 +4,12 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 
-/** {@code checksum}: over the records of this page; {@code nextKey}: the last key given, or none after the last page. */
+/**
+ * A page of records.
+ *
+ * @param checksum the checksum over the records of this page
+ * @param nextKey the last key of this page; null after the last page
+ */
 @JsonTypeName("KeptCells")
 public record RecordPageResponse(
         @JsonProperty("ok") boolean complete,
--- a/common/src/main/java/org/rowanvalve/common/message/RecordReadRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordReadRequest.java
@@ -5,9 +5,12 @@
 import org.rowanvalve.common.model.FencingToken;
 
 /**
- * A new holder reads the records of a shard. {@code paged}: without bodies, in pages; else all in one answer, without
- * outcomes. {@code afterKey}, {@code era}: the last key of the page before and the era it was given in; no key for the
- * first page.
+ * A new lease holder reads the records of a shard.
+ *
+ * @param paged whether to return the records in pages and without bodies; otherwise one response contains all records
+ *     without outcomes
+ * @param afterKey the last key of the previous page; null for the first page
+ * @param era the era in which the previous page was read
  */
 @JsonTypeName("KeepRead")
 public record RecordReadRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordReadResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordReadResponse.java
@@ -6,9 +6,11 @@
 import org.rowanvalve.common.model.FencingToken;
 
 /**
- * {@code highestToken}: the highest token that this replica was read with, above that of the request where the read is
- * refused; {@code nextKey}: what to ask the next page with, or none after the last. A replica that lost records gives
- * none.
+ * The response to a {@link RecordReadRequest}. A replica that lost records returns none.
+ *
+ * @param highestToken the highest fencing token with which this replica was read; it is above the token of the request
+ *     if the read is rejected
+ * @param nextKey the key with which to ask for the next page; null after the last page
  */
 @JsonTypeName("Kept")
 public record RecordReadResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordWriteRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordWriteRequest.java
@@ -4,7 +4,9 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * Writes an intent or an outcome of a keyed request at one replica. {@code era}: in which the writer read the replica.
+ * Writes an intent or an outcome of a keyed request at one replica.
+ *
+ * @param era the era in which the writer read the replica
  */
 @JsonTypeName("KeepWrite")
 public record RecordWriteRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RecordWriteResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RecordWriteResponse.java
@@ -4,9 +4,13 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * {@code accepted}: stored and synced; {@code incomplete}: this replica has lost records and does not count; {@code
- * staleEra}: the writer has to read this replica again; {@code standing}: the record that was kept in place of the one
- * written, or none. A writer must not take such an answer for an acceptance.
+ * The response to a {@link RecordWriteRequest}.
+ *
+ * @param accepted whether the record was stored and synced to disk
+ * @param incomplete whether this replica has lost records and therefore does not count towards a majority
+ * @param staleEra whether the writer has to read this replica again
+ * @param standing the record that the replica kept instead of the written one, or null; a writer must not treat a
+ *     response with such a record as an acceptance
  */
 @JsonTypeName("KeepSeen")
 public record RecordWriteResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/Register.java
+++ b/common/src/main/java/org/rowanvalve/common/message/Register.java
@@ -5,7 +5,7 @@
 import org.rowanvalve.common.model.Item;
 
 /**
- * What one voter remembers of one register: the highest ballot promised, and the value last accepted with its ballot.
+ * The state of one register at one voter: the highest promised ballot, and the last accepted value with its ballot.
  */
 public record Register(
         @JsonProperty("promised") Ballot promisedBallot,
--- a/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverRequest.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * To a voter of the earlier voting set, from one of {@code votingSet}, the chosen later one: asks for the registers of
- * the buckets from {@code fromBucket} on whose {@code checksums} differ. The asked voter seals its epoch first. With
- * {@code position} the page begins there, and may end within a bucket.
+ * A voter of the chosen later voting set {@code votingSet} asks a voter of the earlier voting set for the registers of
+ * the buckets from {@code fromBucket} on whose {@code checksums} differ. The receiving voter seals its epoch before it
+ * responds. If {@code position} is given, the page begins there and may end within a bucket.
  */
 @JsonTypeName("Handover")
 public record RegisterHandoverRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/RegisterHandoverResponse.java
@@ -7,8 +7,11 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * A page of registers. {@code epoch}: the last one that the answering voter voted in; {@code nextBucket}: the first
- * bucket of the next page; {@code position}: where that begins, for who asked with a position.
+ * A page of registers.
+ *
+ * @param epoch the last epoch in which the responding voter voted
+ * @param nextBucket the first bucket of the next page
+ * @param position where the next page begins, if the request stated a position
  */
 @JsonTypeName("HandedOver")
 public record RegisterHandoverResponse(
@@ -22,7 +25,7 @@
         implements Message {
     public static final int LAST_PAGE = -1;
 
-    /** Where the next page begins; null after the last. */
+    /** Returns where the next page begins; null after the last page. */
     public RegisterPosition next() {
         return position != null || nextBucket == LAST_PAGE ? position : new RegisterPosition(nextBucket, null);
     }
--- a/common/src/main/java/org/rowanvalve/common/message/ShardLease.java
+++ b/common/src/main/java/org/rowanvalve/common/message/ShardLease.java
@@ -3,5 +3,5 @@
 import org.rowanvalve.common.model.FencingToken;
 import org.rowanvalve.common.model.LeaseState;
 
-/** One shard's lease: its fencing token and the state that the sender takes it to be in. */
+/** The lease of one shard: its fencing token and its state as the sender knows it. */
 public record ShardLease(int shard, FencingToken token, LeaseState state) {}
--- a/common/src/main/java/org/rowanvalve/common/message/StandbyPrepareRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/StandbyPrepareRequest.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** From the lease authority to a standby: get ready to vote in the set after this epoch. */
+/** Sent by the leader to a standby: asks it to prepare for voting in the voting set that follows this epoch. */
 @JsonTypeName("CatchUp")
 public record StandbyPrepareRequest(long epoch) implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/StateTransferRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/StateTransferRequest.java
@@ -5,10 +5,13 @@
 import java.util.List;
 
 /**
- * A voter that lost its state asks the others of its epoch for theirs. {@code incarnation}: names this start of it;
- * {@code raiseFloor}: whether the asked voter is to raise its ballot floor and send registers; {@code onlyCopy}: no other
- * copy is left. With {@code position} it is one page of those in whose buckets the {@code checksums} differ, from there on;
- * without, it is all of them.
+ * A voter that lost its state asks the other voters of its epoch for their state. If {@code position} is given, the
+ * response is one page of the registers in the buckets whose {@code checksums} differ, starting at that position;
+ * otherwise the response contains all registers.
+ *
+ * @param incarnation identifies this start of the requesting voter
+ * @param raiseFloor whether the receiving voter is to raise its ballot floor and send registers
+ * @param onlyCopy whether no other copy of the state is left
  */
 @JsonTypeName("Reread")
 public record StateTransferRequest(
--- a/common/src/main/java/org/rowanvalve/common/message/StateTransferResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/StateTransferResponse.java
@@ -7,10 +7,14 @@
 import org.rowanvalve.common.model.NodeId;
 
 /**
- * {@code hasState}: whether this voter has its state; {@code incarnation}: its own start, empty where it would not
- * found a network; {@code founders}: the starts that founded the network; {@code resumptions}: how often its state was
- * the only copy left; {@code ageMs}: time since it started; {@code next}: where the next page
- * begins, or none after the last.
+ * The response to a {@link StateTransferRequest}.
+ *
+ * @param hasState whether this voter has its state
+ * @param incarnation the incarnation of this voter; empty if it would not found a network
+ * @param founders the incarnations that founded the network
+ * @param resumptions how many times this voter's state was the only copy left
+ * @param ageMs the time since this voter started
+ * @param next where the next page begins; null after the last page
  */
 @JsonTypeName("Memory")
 public record StateTransferResponse(
--- a/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/UpdateForwardResponse.java
@@ -7,7 +7,7 @@
 import org.rowanvalve.common.model.UpdateVerdict;
 import org.rowanvalve.common.model.ValidationError;
 
-/** What the update came to; {@code item} and {@code version} name the conflict, where there is one. */
+/** The result of an update. {@code item} and {@code version} identify the conflicting item if there is a conflict. */
 @JsonTypeName("Ordered")
 public record UpdateForwardResponse(
         UpdateVerdict verdict,
--- a/common/src/main/java/org/rowanvalve/common/message/VotersRequest.java
+++ b/common/src/main/java/org/rowanvalve/common/message/VotersRequest.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
-/** Who votes, asked of any node that may know; an empty answer means that it does not know either. */
+/** Asks any node for the current voters. An empty response means that the node does not know them either. */
 @JsonTypeName("Seats")
 public record VotersRequest() implements Message {}
--- a/common/src/main/java/org/rowanvalve/common/message/VotersResponse.java
+++ b/common/src/main/java/org/rowanvalve/common/message/VotersResponse.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import java.util.List;
 
-/** {@code foundingVoters}: the founding voters; {@code votingSet}: the chosen set that votes now, none while those do. */
+/** The founding voters, and the chosen voting set that votes now; the set is null while the founding voters vote. */
 @JsonTypeName("Seated")
 public record VotersResponse(
         @JsonProperty("electors") List<String> foundingVoters,
--- a/common/src/main/java/org/rowanvalve/common/message/package-info.java
+++ b/common/src/main/java/org/rowanvalve/common/message/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The requests and responses between processes and their CBOR encoding. Each message states its tag, and each member
- * whose Java name differs states the name in the frame, so a rename in Java changes no frame.
+ * The requests and responses between processes and their CBOR encoding. Each message declares its type tag, and each
+ * component whose Java name differs declares its name in the frame, so that a rename in Java changes no frame.
  *
  * <p>Depends on {@code common.model} only.
  */
--- a/common/src/test/java/org/rowanvalve/common/message/KeyedRecordTest.java
+++ b/common/src/test/java/org/rowanvalve/common/message/KeyedRecordTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.rowanvalve.common.model.FencingToken;
 
-/** What one replica holds of a key once several records have come to it, in every order. */
+/** Tests which record of a key a replica stores after several records arrived, in every order. */
 class KeyedRecordTest {
     private static final FencingToken TOKEN = new FencingToken(3, 1);
 
@@ -27,21 +27,21 @@
     }
 
     private static void permute(
-            final List<KeyedRecord> rest, final List<KeyedRecord> order, final List<List<KeyedRecord>> all) {
-        if (rest.isEmpty()) {
-            all.add(List.copyOf(order));
+            final List<KeyedRecord> remaining, final List<KeyedRecord> order, final List<List<KeyedRecord>> orders) {
+        if (remaining.isEmpty()) {
+            orders.add(List.copyOf(order));
             return;
         }
-        for (final KeyedRecord next : rest) {
-            final List<KeyedRecord> left = new ArrayList<>(rest);
-            left.remove(next);
+        for (final KeyedRecord next : remaining) {
+            final List<KeyedRecord> others = new ArrayList<>(remaining);
+            others.remove(next);
             order.add(next);
-            permute(left, order, all);
+            permute(others, order, orders);
             order.remove(order.size() - 1);
         }
     }
 
-    private static KeyedRecord held(final List<KeyedRecord> arrivals) {
+    private static KeyedRecord storedAfter(final List<KeyedRecord> arrivals) {
         KeyedRecord stored = null;
         for (final KeyedRecord next : arrivals) {
             stored = next.mergedOver(stored);
@@ -49,20 +49,20 @@
         return stored;
     }
 
-    /** Guards against a late record of a refused attempt that hides the later attempt, which is in flight. */
+    /** Guards against a late record of a rejected attempt that replaces the record of a later attempt in flight. */
     @Test
-    void aLateRecordOfAnEarlierAttemptNeverHidesALaterOne() {
+    void lateRecordOfAnEarlierAttemptNeverReplacesALaterOne() {
         final List<List<KeyedRecord>> orders = new ArrayList<>();
         permute(
                 List.of(record(1, false, false), record(1, true, false), record(2, false, false)),
                 new ArrayList<>(),
                 orders);
         assertEquals(6, orders.size());
-        orders.forEach(order -> assertSame(order.get(order.indexOf(record(2, false, false))), held(order)));
+        orders.forEach(order -> assertSame(order.get(order.indexOf(record(2, false, false))), storedAfter(order)));
     }
 
     @Test
-    void anOutcomeStandsWhateverComesLater() {
+    void storedOutcomeIsNeverReplacedByALaterIntent() {
         final List<List<KeyedRecord>> orders = new ArrayList<>();
         permute(
                 List.of(
@@ -72,11 +72,11 @@
                         record(2, false, true)),
                 new ArrayList<>(),
                 orders);
-        orders.forEach(order -> assertTrue(held(order).outcome() != null, order.toString()));
+        orders.forEach(order -> assertTrue(storedAfter(order).outcome() != null, order.toString()));
     }
 
     @Test
-    void attemptsOfOneProcessAreKnownAsSuch() {
+    void attemptsOfOneProcessAreRecognized() {
         final long id = KeyedRecord.attemptId("process", 7);
         assertTrue(KeyedRecord.isSameProcess(id, KeyedRecord.attemptId("process", 8)));
         assertFalse(KeyedRecord.isSameProcess(id, KeyedRecord.attemptId("other", 7)));
