--- a/common/src/main/java/org/rowanvalve/common/model/Member.java
+++ b/common/src/main/java/org/rowanvalve/common/model/Member.java
@@ -36,12 +36,12 @@
         this(id, role, location, host, port, incarnation, status, version, CURRENT_VERSION);
     }
 
-    public Member with(final NodeStatus newStatus) {
+    public Member withStatus(final NodeStatus newStatus) {
         return new Member(id, role, location, host, port, incarnation, newStatus, version, messagingVersion);
     }
 
     /** Whether the process accepts the messages introduced by this version. */
-    public boolean speaks(final int wantedVersion) {
+    public boolean supports(final int wantedVersion) {
         return messagingVersion != null && messagingVersion >= wantedVersion;
     }
 }
--- a/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
+++ b/control/src/main/java/org/rowanvalve/control/config/ConfigurationView.java
@@ -223,7 +223,7 @@
                 .getOrDefault(path, Map.of())
                 .forEach((id, version) -> versions.put("p/" + id.name(), version.number()));
         prefixPurges.getOrDefault(configured.name(), Map.of()).forEach((id, prefixPurge) -> {
-            if (prefixPurge.purge().touches(configured.name(), path)) {
+            if (prefixPurge.purge().appliesTo(configured.name(), path)) {
                 versions.put("p/" + id.name(), prefixPurge.version().number());
             }
         });
--- a/control/src/main/java/org/rowanvalve/control/config/Purge.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Purge.java
@@ -3,7 +3,7 @@
 /** A purge of a route's path or prefix, of a host's path, or of a tag that origins put on their responses. */
 public record Purge(String route, String path, String prefix, String host, String tag) {
     /** Whether this purge applies to the path {@code target} of the route {@code name}. */
-    public boolean touches(final String name, final String target) {
+    public boolean appliesTo(final String name, final String target) {
         return route != null && route.equals(name) && (path != null ? target.equals(path) : target.startsWith(prefix));
     }
 
--- a/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
+++ b/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
@@ -27,7 +27,7 @@
      * The number of terms that are skipped after a loss of voter state: more than a partitioned group of nodes can have
      * started in two weeks.
      */
-    public static final long TERM_LEAP = 1_000_000;
+    public static final long SKIPPED_TERMS = 1_000_000;
 
     private static final long CAMPAIGN_CHECK_INTERVAL_MS = 25;
     private static final long RESIGN_TIMEOUT_MS = 1500;
@@ -203,7 +203,7 @@
         campaigning = true;
         final long sentAt = loop.now();
         final boolean termsSkipped = resumptions.getAsLong() > current.resumptions();
-        final long nextTerm = current.term() + (termsSkipped ? TERM_LEAP : 1);
+        final long nextTerm = current.term() + (termsSkipped ? SKIPPED_TERMS : 1);
         writeLeadership(false, nextTerm, timings.leadershipLeaseMs() - timings.leadershipMarginMs(), result -> {
             campaigning = false;
             if (result.isAccepted()) {
--- a/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
+++ b/control/src/main/java/org/rowanvalve/control/json/JsonObjectReader.java
@@ -155,7 +155,7 @@
     }
 
     /** Marks a member that is read elsewhere as known. */
-    public void knownMembers(final String name) {
+    public void markKnown(final String name) {
         knownNames.add(name);
     }
 
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
@@ -393,7 +393,7 @@
      * Expires the held and uncertain leases. Called after a pause of the process or when the clock is unreliable, since
      * the earlier leases are not valid any more then.
      */
-    public void dropAll() {
+    public void expireAll() {
         placementReceived = false;
         leases.forEach((shard, lease) -> {
             if (lease.state == LeaseState.HELD || lease.state == LeaseState.UNCERTAIN) {
--- a/control/src/main/java/org/rowanvalve/control/membership/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/Membership.java
@@ -172,14 +172,15 @@
     private void onReport(final MemberReport report) {
         final Member member = report.member() != null ? report.member() : get(report.id());
         if (member != null) {
-            onReport(member.with(report.status()), report.silenceMs());
+            onReport(member.withStatus(report.status()), report.silenceMs());
         }
     }
 
     /** Returns a digest that is equal on two nodes if they know the same members at the same addresses. */
     private long memberDigest() {
         return liveMembers().stream()
-                .mapToLong(member -> Hash.hash64(member.with(NodeStatus.READY).toString()))
+                .mapToLong(member ->
+                        Hash.hash64(member.withStatus(NodeStatus.READY).toString()))
                 .reduce(0, (first, second) -> first ^ second);
     }
 
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationService.java
@@ -90,7 +90,7 @@
     }
 
     /** Reads the chosen items from a view that a majority has confirmed after the request arrived. */
-    public void inContact(final Supplier<ApiResponse> read, final Consumer<ApiResponse> callback) {
+    public void readConfirmed(final Supplier<ApiResponse> read, final Consumer<ApiResponse> callback) {
         if (view.isFresh()) {
             view.awaitConfirmation(
                     loop.now(),
--- a/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ConfigurationUpdate.java
@@ -167,7 +167,7 @@
     }
 
     /** An error for each reference to a service that is neither set by the same update nor {@code known}. */
-    public List<ValidationError> unfit(final Predicate<ItemId> known) {
+    public List<ValidationError> unknownServices(final Predicate<ItemId> known) {
         return revisions.entrySet().stream()
                 .flatMap(entry -> entry.getValue().values().stream()
                         .flatMap(revision -> revision.services().stream())
--- a/control/src/main/java/org/rowanvalve/control/operator/ItemStatements.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/ItemRevisions.java
@@ -10,7 +10,7 @@
  * body or version, or a list of them if the request contains several revisions of an item. Equal revisions are kept
  * once.
  */
-public final class ItemStatements {
+public final class ItemRevisions {
     private final Map<String, List<Object>> revisionsByName = new LinkedHashMap<>();
 
     /** {@code revision}: the members of an item that is set, or the version under which the item is deleted. */
--- a/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
+++ b/control/src/main/java/org/rowanvalve/control/voting/StoreHealth.java
@@ -19,7 +19,7 @@
     private final Set<NodeId> stores;
     private final EventJournal journal;
     private final EventLoop loop;
-    private final Set<NodeId> silent = new TreeSet<>();
+    private final Set<NodeId> silentStores = new TreeSet<>();
     private final Map<NodeId, Long> firstMissedAt = new HashMap<>();
     private final Map<NodeId, Long> lastHeardAt = new HashMap<>();
 
@@ -41,12 +41,12 @@
                                 || loop.now() - firstMissedAt.getOrDefault(store, loop.now())
                                         >= SILENCE_TIMEOUT_MILLIS))
                 .forEach(this::markSilent);
-        return stores.stream().allMatch(store -> synced.contains(store) || silent.contains(store));
+        return stores.stream().allMatch(store -> synced.contains(store) || silentStores.contains(store));
     }
 
     /** Marks a store as silent: it has reported that its disk is unavailable, or this node has waited too long. */
     public void markSilent(final NodeId store) {
-        if (stores.contains(store) && silent.add(store)) {
+        if (stores.contains(store) && silentStores.add(store)) {
             journal.add(Event.of(EventCode.STORE_SILENT, "store", store.text()));
         }
     }
@@ -67,7 +67,7 @@
     /** Records that the store has synced a write of this node; the store is no longer silent. */
     public void recordSync(final NodeId from) {
         recordContact(from);
-        if (silent.remove(from)) {
+        if (silentStores.remove(from)) {
             journal.add(Event.of(EventCode.STORE_HEARD, "store", from.text()));
         }
     }
@@ -77,7 +77,7 @@
     }
 
     /** The stores that writes do not wait for. */
-    public Set<NodeId> silent() {
-        return Set.copyOf(silent);
+    public Set<NodeId> silentStores() {
+        return Set.copyOf(silentStores);
     }
 }
--- a/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/OriginRegistryTest.java
@@ -93,7 +93,7 @@
         assertEquals(503, sendHeartbeat(origin(1, false, 4, 0)));
         assertEquals(503, sendEnd("i1"));
         fixture.confirm();
-        fixture.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
+        fixture.unreachable.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
         responses.clear();
         registry.onHeartbeat("i1", origin(1, true, 4, 0), responses::add);
         fixture.loop.run(2000);
--- a/control/src/test/java/org/rowanvalve/control/operator/UpdateServiceTest.java
+++ b/control/src/test/java/org/rowanvalve/control/operator/UpdateServiceTest.java
@@ -88,7 +88,7 @@
         final String route =
                 "{\"set\":{\"routes\":{\"r\":{\"prefix\":\"/x/\",\"service\":\"s\",\"mode\":\"status\",\"version\":7}}}}";
         assertEquals(422, sendUpdate(route, 100));
-        fixture.news.add(new ChosenItem(
+        fixture.missingItems.add(new ChosenItem(
                 Ballot.ZERO,
                 new Item(
                         new ItemId(ItemKind.SERVICE, "s"),
@@ -97,7 +97,7 @@
                         false,
                         "")));
         assertEquals(200, sendUpdate(route, 100), "the service was set at another node a moment ago");
-        fixture.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
+        fixture.unreachable.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
         assertEquals(
                 503,
                 sendUpdate(route.replace("\"s\"", "\"t\""), 800),
@@ -124,9 +124,9 @@
     @Test
     void nothingIsAcknowledgedWithoutAMajority() {
         fixture.confirm();
-        fixture.deaf.add(NodeId.of("a"));
+        fixture.unreachable.add(NodeId.of("a"));
         assertEquals(200, sendUpdate(SET.formatted("two of three", 2), 1000));
-        fixture.deaf.add(NodeId.of("b"));
+        fixture.unreachable.add(NodeId.of("b"));
         assertEquals(0, sendUpdate(SET.formatted("one of three", 3), 500));
         fixture.loop.run(2500);
         assertEquals(503, responses.get(0).status());
@@ -139,13 +139,13 @@
     void noVerdictWithoutVotesThoughTheViewIsConfirmed() {
         fixture.confirm();
         assertEquals(200, sendUpdate(SET.formatted("one", 12), 100));
-        fixture.mute.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
+        fixture.nonVoting.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
         for (final String update : List.of(SET.formatted("one", 12), SET.formatted("other", 12))) {
             assertEquals(0, sendUpdate(update, 1000), "no verdict yet");
             fixture.loop.run(3000);
             assertEquals(503, responses.get(0).status());
         }
-        fixture.mute.clear();
+        fixture.nonVoting.clear();
         assertEquals(409, sendUpdate(SET.formatted("other", 12), 1000));
     }
 
@@ -174,7 +174,7 @@
         assertEquals(
                 List.of("s"),
                 List.copyOf(results.get(0).orElseThrow().get(ItemKind.SERVICE).keySet()));
-        fixture.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
+        fixture.unreachable.addAll(List.of(NodeId.of("a"), NodeId.of("b")));
         updateService.readAll(900, results::add);
         fixture.loop.run(950);
         assertEquals(Optional.empty(), results.get(1));
--- a/control/src/test/java/org/rowanvalve/control/view/ViewSynchronizerTest.java
+++ b/control/src/test/java/org/rowanvalve/control/view/ViewSynchronizerTest.java
@@ -34,8 +34,9 @@
     /** Guards against an overload of the voters: callers that wait for the view must share requests to a voter. */
     @Test
     void concurrentCallersShareOneOpenRequestPerVoter() {
-        net.news.add(new ChosenItem(new Ballot(1, "w"), Item.none(ItemId.LEDGER).successor("{}", "t1")));
-        net.answerMs = 100;
+        net.missingItems.add(
+                new ChosenItem(new Ballot(1, "w"), Item.none(ItemId.LEDGER).successor("{}", "t1")));
+        net.responseDelayMs = 100;
         for (int i = 0; i < 40; i++) {
             for (int waiting = 0; waiting < 50; waiting++) {
                 net.view.poll();
@@ -51,7 +52,7 @@
     @Test
     void withoutAMajorityTheResultIsFalseAfterTheTimeout() {
         net.confirm();
-        net.deaf.addAll(List.of(NodeId.of("a"), NodeId.of("c")));
+        net.unreachable.addAll(List.of(NodeId.of("a"), NodeId.of("c")));
         net.loop.run(5);
         net.view.awaitConfirmation(net.loop.now(), 500, results::add);
         net.loop.run(490);
--- a/control/src/test/java/org/rowanvalve/control/voting/StoreHealthTest.java
+++ b/control/src/test/java/org/rowanvalve/control/voting/StoreHealthTest.java
@@ -35,7 +35,7 @@
         assertFalse(storeHealth.allReachableSynced(Set.of(A), 399));
         assertTrue(storeHealth.allReachableSynced(Set.of(A, B), 0));
         assertTrue(storeHealth.allReachableSynced(Set.of(A), 400));
-        assertEquals(Set.of(B), storeHealth.silent());
+        assertEquals(Set.of(B), storeHealth.silentStores());
         assertTrue(storeHealth.allReachableSynced(Set.of(A), 0), "a silent store is not waited for again");
         storeHealth.recordSync(B);
         assertFalse(storeHealth.allReachableSynced(Set.of(A), 0));
--- a/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
+++ b/control/src/test/java/org/rowanvalve/control/voting/VoterFixture.java
@@ -43,13 +43,13 @@
     public final ItemStore items = new ItemStore(loop, journal);
     public final ConfigurationView configuration = new ConfigurationView(items);
     /** Voters that answer no request. */
-    public final Set<NodeId> deaf = new HashSet<>();
+    public final Set<NodeId> unreachable = new HashSet<>();
     /** Voters that confirm views, but do not answer prepare and accept requests. */
-    public final Set<NodeId> mute = new HashSet<>();
+    public final Set<NodeId> nonVoting = new HashSet<>();
 
     public final List<Item> written = new ArrayList<>();
     /** Chosen items that the voters have and this node lacks. */
-    public final List<ChosenItem> news = new ArrayList<>();
+    public final List<ChosenItem> missingItems = new ArrayList<>();
 
     public final VotingConfiguration votingConfiguration = VotingConfiguration.of(new Quorum(ALL, Set.of()));
     public final ViewSynchronizer view = new ViewSynchronizer(
@@ -73,7 +73,7 @@
             () -> List.of(),
             new StoreHealth(votingConfiguration.quorum(), loop, journal));
     /** The delay of each response, in ms. */
-    public long answerMs = 1;
+    public long responseDelayMs = 1;
 
     /** The number of unanswered digest and item requests of each voter; {@link #mostOpenQueries} is its maximum. */
     public final Map<NodeId, Integer> openQueries = new HashMap<>();
@@ -101,11 +101,11 @@
     public void request(
             final NodeId recipient, final Message message, final long timeoutMs, final Consumer<Reply> callback) {
         final boolean isVote = message instanceof PrepareRequest || message instanceof AcceptRequest;
-        if (deaf.contains(recipient) || isVote && mute.contains(recipient)) {
+        if (unreachable.contains(recipient) || isVote && nonVoting.contains(recipient)) {
             loop.schedule(timeoutMs, () -> callback.accept(Reply.failed(Reply.Failure.NO_RESPONSE)));
         } else {
             countQuery(recipient, message, 1);
-            loop.schedule(answerMs, () -> {
+            loop.schedule(responseDelayMs, () -> {
                 countQuery(recipient, message, -1);
                 callback.accept(Reply.of(answer(recipient, message)));
             });
@@ -139,10 +139,10 @@
             return new AcceptResponse(true, accept.ballot());
         }
         if (message instanceof MissingItemsRequest) {
-            return new MissingItemsResponse(news, true, List.of());
+            return new MissingItemsResponse(missingItems, true, List.of());
         }
         return message instanceof DigestRequest
-                ? new DigestResponse(news.isEmpty(), java.util.Collections.nCopies(ItemDigest.BUCKETS, 1L))
+                ? new DigestResponse(missingItems.isEmpty(), java.util.Collections.nCopies(ItemDigest.BUCKETS, 1L))
                 : new AckResponse();
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/cancel/Cancellation.java
+++ b/data/src/main/java/org/rowanvalve/data/cancel/Cancellation.java
@@ -20,7 +20,7 @@
     public static final Cancellation NEVER = new Cancellation();
 
     /** Whether anything may be sent to another process for a request. */
-    public enum Standing {
+    public enum State {
         /** The caller still waits, as far as this process knows. */
         WANTED,
         /** The caller must first confirm that it still waits. */
@@ -78,12 +78,12 @@
     }
 
     /** Returns whether the request may be sent now. Call this right before each send. */
-    public Standing poll() {
+    public State poll() {
         source.run();
         if (isRequested()) {
-            return Standing.CANCELLED;
+            return State.CANCELLED;
         }
-        return unconfirmed ? Standing.UNCONFIRMED : Standing.WANTED;
+        return unconfirmed ? State.UNCONFIRMED : State.WANTED;
     }
 
     /** Marks the request as unconfirmed. */
--- a/data/src/main/java/org/rowanvalve/data/edge/Edge.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/Edge.java
@@ -113,7 +113,7 @@
     }
 
     /** Whether this edge is open, has routes to serve and has a shield to forward to. */
-    public boolean isAble() {
+    public boolean canServe() {
         return !closed && configuration.hasRoutes() && !routing.nearestShields().isEmpty();
     }
 
@@ -207,7 +207,7 @@
      * are not notified.
      */
     void sendCancel(final NodeId shield, final long serial, final CancelCause cause) {
-        if (routing.takesCancels(shield)) {
+        if (routing.supportsCancel(shield)) {
             transport.send(shield, new CancelRequest(incarnation, serial, cause));
         }
     }
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -201,7 +201,7 @@
     }
 
     boolean hasLeft() {
-        return cancellation.poll() == Cancellation.Standing.CANCELLED;
+        return cancellation.poll() == Cancellation.State.CANCELLED;
     }
 
     /**
@@ -426,7 +426,7 @@
      */
     void finishAll(final ClientResponse response, final boolean mayHaveRun) {
         final ClientResponse finalResponse = mayHaveRun && isAtMostOnce() && response.fate() == RequestOutcome.REFUSED
-                ? ClientResponse.unsure("an earlier way may have sent it")
+                ? ClientResponse.unknownOutcome("an earlier way may have sent it")
                 : response;
         final List<EdgeRequest> waiters = takeWaiters();
         final CachedResponse stale = finalResponse.fate() == RequestOutcome.DONE ? null : staleCopy();
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRouting.java
@@ -16,7 +16,7 @@
     long silenceMs(NodeId id);
 
     /** Whether this shield supports the cancellation of forwarded requests. */
-    boolean takesCancels(NodeId id);
+    boolean supportsCancel(NodeId id);
 
     /** The number of regions for which objects are filled separately. */
     int regionCount();
--- a/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/MembershipRouting.java
@@ -79,18 +79,18 @@
     }
 
     @Override
-    public boolean takesCancels(final NodeId id) {
+    public boolean supportsCancel(final NodeId id) {
         final Member shield = membership.get(id);
-        return shield != null && shield.speaks(Member.CANCEL_VERSION);
+        return shield != null && shield.supports(Member.CANCEL_VERSION);
     }
 
     @Override
     public boolean isWithoutQuorum() {
-        return alone(settings, membership, votingConfiguration);
+        return lacksQuorum(settings, membership, votingConfiguration);
     }
 
     /** Whether messages arrive from too few voters for a majority, so that this node cannot learn of new decisions. */
-    public static boolean alone(
+    public static boolean lacksQuorum(
             final NodeSettings settings, final Membership membership, final VotingConfiguration votingConfiguration) {
         return votingConfiguration.voters().stream()
                         .filter(voter ->
--- a/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/ShieldForwarding.java
@@ -308,7 +308,8 @@
                 mayHaveRun |= completion.mayHaveRun();
                 finish(
                         completion.mayHaveRun()
-                                ? ClientResponse.unsure(completion.response().reason())
+                                ? ClientResponse.unknownOutcome(
+                                        completion.response().reason())
                                 : fallback);
             }
         });
@@ -325,9 +326,9 @@
             if (reply.failure() == Reply.Failure.NOT_SENT) {
                 passThrough(ClientResponse.reject(503, "no shield can be reached", 300));
             } else if (!hasMode(RouteMode.AT_MOST_ONCE)) {
-                passThrough(ClientResponse.unsure("no shield answered"));
+                passThrough(ClientResponse.unknownOutcome("no shield answered"));
             } else {
-                finish(ClientResponse.unsure("the shield did not answer"));
+                finish(ClientResponse.unknownOutcome("the shield did not answer"));
             }
         } else if (filled.fate() == RequestOutcome.DONE) {
             deliver(now(), filled);
@@ -340,7 +341,7 @@
             finish(
                     filled.fate() == RequestOutcome.REFUSED
                             ? ClientResponse.reject(filled.status(), filled.reason(), filled.retryAfterMs())
-                            : ClientResponse.unsure(filled.reason()));
+                            : ClientResponse.unknownOutcome(filled.reason()));
         }
     }
 
@@ -378,7 +379,7 @@
         } else {
             edge.recordToken(shard, filled.token());
             if (filled.fate() == RequestOutcome.UNKNOWN) {
-                finish(ClientResponse.unsure(filled.reason()));
+                finish(ClientResponse.unknownOutcome(filled.reason()));
             } else {
                 deliver(sentAt, filled);
             }
@@ -386,7 +387,7 @@
     }
 
     private void onMissingHolderResponse(final Reply.Failure failure) {
-        final ClientResponse uncertain = ClientResponse.unsure("the holder did not answer");
+        final ClientResponse uncertain = ClientResponse.unknownOutcome("the holder did not answer");
         if (failure == Reply.Failure.NOT_SENT) {
             retry(ClientResponse.reject(503, "the holder cannot be reached", 1000));
         } else if (mayUseAnyShield() && hasMode(RouteMode.CACHED)) {
@@ -422,7 +423,7 @@
                         "known",
                         edge.highestToken(shard).toString()));
         if (hasMode(RouteMode.KEYED)) {
-            finish(ClientResponse.unsure("the answer came from an earlier holder"));
+            finish(ClientResponse.unknownOutcome("the answer came from an earlier holder"));
         } else {
             retry(ClientResponse.reject(503, "the answer came from an earlier holder", 500));
         }
--- a/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/RateLimiter.java
@@ -58,7 +58,7 @@
     }
 
     /** The delay in ms until the next slot of a bucket is free, at least 1. */
-    public long wait(final String bucket, final long now) {
+    public long delayUntilNextSlotMs(final String bucket, final long now) {
         return Math.max(1, (long) (nextFreeAt.getOrDefault(bucket, (double) now) - now));
     }
 
--- a/data/src/main/java/org/rowanvalve/data/limit/RetryBudget.java
+++ b/data/src/main/java/org/rowanvalve/data/limit/RetryBudget.java
@@ -46,7 +46,7 @@
     }
 
     /** Counts a first attempt, which earns a fraction of a retry. {@code now}: monotonic time in ms. */
-    public void recordFirst(final String service, final long now) {
+    public void recordFirstAttempt(final String service, final long now) {
         balanceOf(service, now).level += earnedPerRequest;
     }
 
--- a/data/src/main/java/org/rowanvalve/data/node/DispatcherSurroundings.java
+++ b/data/src/main/java/org/rowanvalve/data/node/DispatcherClusterView.java
@@ -9,15 +9,15 @@
 import org.rowanvalve.data.settings.NodeSettings;
 
 /** Connects an {@link OriginDispatcher} to the other components of its node. */
-final class DispatcherSurroundings {
-    private DispatcherSurroundings() {}
+final class DispatcherClusterView {
+    private DispatcherClusterView() {}
 
     /** {@code peers} supplies the other live shields on a shield, and an empty list on an edge. */
-    static OriginDispatcher.Surroundings of(
+    static OriginDispatcher.ClusterView of(
             final NodeSettings settings, final CoreComponents core, final Supplier<List<NodeId>> peers) {
-        return new OriginDispatcher.Surroundings(
+        return new OriginDispatcher.ClusterView(
                 core.viewSynchronizer::isFresh,
-                () -> MembershipRouting.alone(settings, core.membership, core.votingConfiguration),
+                () -> MembershipRouting.lacksQuorum(settings, core.membership, core.votingConfiguration),
                 peers,
                 () -> Math.max(1, core.membership.knownCount(Role.EDGE)),
                 () -> core.membership.knownCount(Role.SHIELD));
--- a/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/EdgeComponents.java
@@ -27,7 +27,7 @@
                 runtime.originTransport(),
                 core.configuration,
                 null,
-                DispatcherSurroundings.of(settings, core, List::of),
+                DispatcherClusterView.of(settings, core, List::of),
                 journal);
         edge = new Edge(
                 runtime.loop(),
--- a/data/src/main/java/org/rowanvalve/data/node/Node.java
+++ b/data/src/main/java/org/rowanvalve/data/node/Node.java
@@ -80,7 +80,7 @@
         voter = settings.mayVote()
                 ? Optional.of(new VoterComponents(settings, runtime, core, journal))
                 : Optional.empty();
-        leader = settings.arbitrates()
+        leader = settings.isLeaderEligible()
                 ? Optional.of(new LeaderComponents(settings, runtime, core, this::mayLead, this::resumptions, journal))
                 : Optional.empty();
         shield = settings.hasRole(Role.SHIELD)
@@ -136,7 +136,7 @@
     }
 
     private void dropLeases() {
-        shield.ifPresent(components -> components.leaseHolder().dropAll());
+        shield.ifPresent(components -> components.leaseHolder().expireAll());
         leader.ifPresent(components -> components.election().abandon());
     }
 
@@ -159,7 +159,7 @@
     }
 
     private Member ownMember() {
-        return settings.self().with(status());
+        return settings.self().withStatus(status());
     }
 
     public NodeStatus status() {
@@ -247,7 +247,7 @@
         return shield.orElseThrow().leaseHolder();
     }
 
-    /** Returns the election; fails on a node for which {@link NodeSettings#arbitrates} is false. */
+    /** Returns the election; fails on a node for which {@link NodeSettings#isLeaderEligible} is false. */
     public LeaderElection election() {
         return leader.orElseThrow().election();
     }
--- a/data/src/main/java/org/rowanvalve/data/node/ShieldComponents.java
+++ b/data/src/main/java/org/rowanvalve/data/node/ShieldComponents.java
@@ -38,7 +38,7 @@
                 runtime.originTransport(),
                 core.configuration,
                 leaseHolder,
-                DispatcherSurroundings.of(settings, core, core.voterLinks::otherShields),
+                DispatcherClusterView.of(settings, core, core.voterLinks::otherShields),
                 journal);
         final KeyedRequests keyedRequests = new KeyedRequests(
                 core.votingConfiguration,
--- a/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
+++ b/data/src/main/java/org/rowanvalve/data/node/StatusReport.java
@@ -92,7 +92,9 @@
         final ViewSynchronizer view = node.viewSynchronizer();
         report.put("frameAgeMs", view.isFresh() ? view.ageMs() : -1);
         report.put("driftMs", node.clockSkew().medianSkewMs());
-        report.put("storesSilent", texts(node.storeHealth().silent()).sorted().toList());
+        report.put(
+                "storesSilent",
+                texts(node.storeHealth().silentStores()).sorted().toList());
         final Map<String, Object> members = new TreeMap<>();
         node.membership()
                 .liveMembers()
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginAttempt.java
@@ -149,7 +149,7 @@
                 : "";
         return error.isEmpty()
                 ? response
-                : OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.INVALID, error);
+                : OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.INVALID, error);
     }
 
     private boolean closeOnce(final boolean answered, final OriginTransport.Load load) {
@@ -194,7 +194,7 @@
         if (closeOnce(false, OriginTransport.Load.NONE)) {
             exchange.abort();
             dispatch.finish(
-                    OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "right to send ended"),
+                    OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.LOST, "right to send ended"),
                     true,
                     dispatcher.loop().now(),
                     RETRY_AFTER_ABORT_MS);
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatch.java
@@ -97,7 +97,7 @@
 
     /** Returns whether the request may be sent. Called right before its bytes are written. */
     boolean maySend() {
-        return !finished && request.cancellation().poll() == Cancellation.Standing.WANTED;
+        return !finished && request.cancellation().poll() == Cancellation.State.WANTED;
     }
 
     /**
@@ -117,7 +117,7 @@
         final boolean mayRun = mayHaveRun || anySent;
         final OriginTransport.ExchangeResult result =
                 mayRun ? OriginTransport.ExchangeResult.LOST : OriginTransport.ExchangeResult.NOT_SENT;
-        finish(OriginTransport.OriginResponse.without(result, CANCELLED), mayRun, loop().now(), 0);
+        finish(OriginTransport.OriginResponse.failure(result, CANCELLED), mayRun, loop().now(), 0);
     }
 
     private void journalCancelled(final boolean anySent) {
@@ -204,7 +204,7 @@
         if (openAttempts.isEmpty() && pendingAttempts == 0) {
             final OriginTransport.ExchangeResult end =
                     mayHaveRun ? OriginTransport.ExchangeResult.LOST : OriginTransport.ExchangeResult.NOT_SENT;
-            finish(OriginTransport.OriginResponse.without(end, reason), mayHaveRun, loop().now(), retryAfterMs);
+            finish(OriginTransport.OriginResponse.failure(end, reason), mayHaveRun, loop().now(), retryAfterMs);
         }
     }
 
@@ -304,12 +304,12 @@
     private void sendIfPermitted(final ItemId id) {
         final Origin origin =
                 dispatcher.view().liveOrigins(request.service(), loop().now()).get(id);
-        final Cancellation.Standing standing = request.cancellation().poll();
-        if (finished || standing == Cancellation.Standing.CANCELLED) {
+        final Cancellation.State standing = request.cancellation().poll();
+        if (finished || standing == Cancellation.State.CANCELLED) {
             abandon(CANCELLED, 0);
         } else if (loop().now() >= request.deadline()) {
             abandon("too late to send", RETRY_AFTER_MS);
-        } else if (standing == Cancellation.Standing.UNCONFIRMED) {
+        } else if (standing == Cancellation.State.UNCONFIRMED) {
             await(new ConfirmationWait(dispatcher, request), () -> sendIfPermitted(id));
         } else if (!dispatcher.maySend(request.shard(), request.service())) {
             abandon("no held right to send", RETRY_AFTER_MS);
@@ -383,7 +383,7 @@
     private void onNotPermitted(final OriginTransport.OriginResponse response, final ItemId id) {
         pendingAttempts++;
         reached--;
-        if (request.cancellation().poll() == Cancellation.Standing.UNCONFIRMED) {
+        if (request.cancellation().poll() == Cancellation.State.UNCONFIRMED) {
             tried.remove(id);
         }
         if (dispatcher.maySend(request.shard(), request.service()) && loop().now() < request.deadline()) {
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
@@ -31,7 +31,7 @@
     private final OriginTransport originTransport;
     private final ConfigurationView configuration;
     private final LeaseHolder leases;
-    private final Surroundings surroundings;
+    private final ClusterView surroundings;
     private final EventJournal journal;
     private final RateLimitShare rateLimitShare;
     private final RetryBudget retryBudget;
@@ -59,18 +59,18 @@
      * @param edgeCount the number of edges ever seen, including partitioned edges that may still send
      * @param shieldCount the number of shields ever seen, including partitioned shields that may still send
      */
-    public record Surroundings(
+    public record ClusterView(
             BooleanSupplier viewFresh,
             BooleanSupplier withoutQuorum,
             Supplier<List<NodeId>> peers,
             IntSupplier edgeCount,
             IntSupplier shieldCount) {
-        public Surroundings(
+        public ClusterView(
                 final BooleanSupplier viewFresh,
                 final BooleanSupplier withoutQuorum,
                 final Supplier<List<NodeId>> peers,
                 final IntSupplier edgeCount) {
-            this(viewFresh, withoutQuorum, peers, edgeCount, () -> 1);
+            ClusterView(viewFresh, withoutQuorum, peers, edgeCount, () -> 1);
         }
     }
 
@@ -81,7 +81,7 @@
             final OriginTransport originTransport,
             final ConfigurationView configuration,
             final LeaseHolder leases,
-            final Surroundings surroundings,
+            final ClusterView surroundings,
             final EventJournal journal) {
         this.settings = settings;
         this.loop = loop;
@@ -220,7 +220,7 @@
 
     /** Records a first request to a service, which adds a fraction of a retry to the budget. */
     void recordFirst(final String service) {
-        retryBudget.recordFirst(service, loop.now());
+        retryBudget.recordFirstAttempt(service, loop.now());
     }
 
     /** Takes a retry from a service's budget. Returns whether the retry may be made now. */
--- a/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginTransport.java
@@ -68,7 +68,7 @@
             this(result, status, headers, body, reason, List.of(), Load.NONE);
         }
 
-        public static OriginResponse without(final ExchangeResult result, final String reason) {
+        public static OriginResponse failure(final ExchangeResult result, final String reason) {
             return new OriginResponse(result, 0, Map.of(), new byte[0], reason);
         }
     }
--- a/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/RateLimitShare.java
@@ -90,6 +90,6 @@
     }
 
     long retryAfterMs(final ItemId origin, final long now) {
-        return limiter.wait(origin.name(), now);
+        return limiter.delayUntilNextSlotMs(origin.name(), now);
     }
 }
--- a/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
+++ b/data/src/main/java/org/rowanvalve/data/request/ClientResponse.java
@@ -28,7 +28,7 @@
     }
 
     /** Creates a 504 response to a request that may or may not have been executed. */
-    public static ClientResponse unsure(final String reason) {
+    public static ClientResponse unknownOutcome(final String reason) {
         return create(504, RequestOutcome.UNKNOWN, reason, 0);
     }
 
--- a/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
+++ b/data/src/main/java/org/rowanvalve/data/settings/NodeSettings.java
@@ -65,7 +65,7 @@
     /**
      * Whether this node may lead. Stores may lead; if no store is configured as a voter, every voter has a disk and may lead.
      */
-    public boolean arbitrates() {
+    public boolean isLeaderEligible() {
         return hasRole(Role.STORE) || votersMayChange() && mayVote();
     }
 
--- a/data/src/main/java/org/rowanvalve/data/shield/Fill.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Fill.java
@@ -69,11 +69,11 @@
      * is confirmed.
      */
     private void poll() {
-        final Set<Cancellation.Standing> standings = EnumSet.noneOf(Cancellation.Standing.class);
+        final Set<Cancellation.State> standings = EnumSet.noneOf(Cancellation.State.class);
         waiters.forEach(waiter -> standings.add(waiter.cancellation().poll()));
-        if (standings.contains(Cancellation.Standing.WANTED)) {
+        if (standings.contains(Cancellation.State.WANTED)) {
             cancellation.confirm();
-        } else if (standings.contains(Cancellation.Standing.UNCONFIRMED)) {
+        } else if (standings.contains(Cancellation.State.UNCONFIRMED)) {
             cancellation.suspend();
             waiters.forEach(waiter -> waiter.cancellation().onSettled(this::poll));
         }
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeFixture.java
@@ -82,7 +82,7 @@
                 }
 
                 @Override
-                public boolean takesCancels(final NodeId id) {
+                public boolean supportsCancel(final NodeId id) {
                     return takesCancels;
                 }
             },
--- a/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/EdgeTest.java
@@ -180,7 +180,7 @@
                 port,
                 configuration,
                 null,
-                new OriginDispatcher.Surroundings(() -> viewFresh, () -> withoutQuorum, List::of, () -> 2),
+                new OriginDispatcher.ClusterView(() -> viewFresh, () -> withoutQuorum, List::of, () -> 2),
                 journal);
         putItem(
                 new ItemId(ItemKind.ORIGIN, "o"),
--- a/data/src/test/java/org/rowanvalve/data/edge/FixedRouting.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/FixedRouting.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public boolean takesCancels(final NodeId id) {
+    public boolean supportsCancel(final NodeId id) {
         return true;
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/edge/RequestAttemptsTest.java
@@ -116,7 +116,7 @@
                 new Origins(),
                 configuration,
                 leases,
-                new OriginDispatcher.Surroundings(() -> true, () -> false, List::of, () -> 1),
+                new OriginDispatcher.ClusterView(() -> true, () -> false, List::of, () -> 1),
                 journal);
         return new Shield(
                 loop, toEdge, configuration, leases, dispatcher, null, () -> true, () -> {}, settings, 1 << 20);
@@ -177,7 +177,7 @@
             final ExchangeResult end = ends.length == 0 ? null : ends[random.nextInt(ends.length)];
             final boolean[] cut = {false};
             if (!gate.mayWrite()) {
-                then.accept(OriginResponse.without(ExchangeResult.NOT_PERMITTED, "barred"));
+                then.accept(OriginResponse.failure(ExchangeResult.NOT_PERMITTED, "barred"));
                 return () -> {};
             }
             if (end != ExchangeResult.NOT_SENT) {
@@ -193,7 +193,7 @@
             if (end == null) {
                 loop.schedule(request.timeoutMs(), () -> {
                     if (!cut[0]) {
-                        then.accept(OriginResponse.without(ExchangeResult.LOST, "no answer in time"));
+                        then.accept(OriginResponse.failure(ExchangeResult.LOST, "no answer in time"));
                     }
                 });
             } else {
@@ -202,7 +202,7 @@
                         () -> then.accept(
                                 end == ExchangeResult.COMPLETE
                                         ? new OriginResponse(end, 200, Map.of(), new byte[0], "")
-                                        : OriginResponse.without(end, end.name())));
+                                        : OriginResponse.failure(end, end.name())));
             }
             return () -> cut[0] = true;
         }
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedHolderFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedHolderFixture.java
@@ -36,7 +36,7 @@
     static final NodeId A = NodeId.of("a");
     static final NodeId B = NodeId.of("b");
     static final NodeId C = NodeId.of("c");
-    final RecordKeepersFixture replicas = new RecordKeepersFixture();
+    final RecordReplicasFixture replicas = new RecordReplicasFixture();
     final LeaseHolder leases = startHolder();
     final List<RequestOutcome> outcomes = new ArrayList<>();
     final List<ForwardResponse> responses = new ArrayList<>();
@@ -87,7 +87,7 @@
                 replicas.journal,
                 new StoreHealth(replicas.votingConfiguration.quorum(), replicas.loop, replicas.journal),
                 process,
-                RecordKeepersFixture.RETENTION);
+                RecordReplicasFixture.RETENTION);
     }
 
     void submit(final KeyedRequests target, final String key, final long maxWaitMs) {
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRequestsTest.java
@@ -56,7 +56,7 @@
     void readSizeIsProportionalToTheNumberOfRecords() {
         final Map<Integer, Long> bytesByRecordCount = new HashMap<>();
         for (final int records : List.of(100, 1000)) {
-            final RecordKeepersFixture fixture = new RecordKeepersFixture();
+            final RecordReplicasFixture fixture = new RecordReplicasFixture();
             fixture.writeRecords(SHARD, records, 1500);
             fixture.responseBytes.clear();
             readRecords(fixture, 5000);
@@ -69,7 +69,7 @@
         assertTrue(byteRatio > 9 && byteRatio < 10.5, "ten times the records: " + byteRatio);
     }
 
-    private static boolean readRecords(final RecordKeepersFixture fixture, final long ms) {
+    private static boolean readRecords(final RecordReplicasFixture fixture, final long ms) {
         final boolean[] ready = {false};
         final KeyedShard[] shard = new KeyedShard[1];
         shard[0] = new KeyedShard(
@@ -163,8 +163,8 @@
         replicas.writeRecords(SHARD, 3, 900);
         final KeyedRequests keyedRequests = newKeyedRequests("w");
         replicas.responseDelayMs = (id, m) -> m instanceof OutcomeRequest && id.equals(A) ? -1L : 20L;
-        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
-        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        submit(keyedRequests, RecordReplicasFixture.key(SHARD, 1), 1000);
+        submit(keyedRequests, RecordReplicasFixture.key(SHARD, 1), 1000);
         replicas.loop.run(2500);
         assertEquals(List.of(RequestOutcome.DONE, RequestOutcome.DONE), outcomes);
         assertEquals(900, responses.get(0).body().length);
@@ -172,7 +172,7 @@
         assertTrue(
                 replicas.requestCounts.get("OutcomeRequest") <= 2,
                 "fetched once for both requests: " + replicas.requestCounts);
-        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        submit(keyedRequests, RecordReplicasFixture.key(SHARD, 1), 1000);
         replicas.loop.run(100);
         assertEquals(3, outcomes.size(), "the fetched outcome is kept");
         assertEquals(0, sentCount);
@@ -183,7 +183,7 @@
         replicas.writeRecords(SHARD, 3, 900);
         replicas.responseDelayMs = (id, m) -> m instanceof OutcomeRequest ? -1L : 1L;
         final KeyedRequests keyedRequests = newKeyedRequests("w");
-        submit(keyedRequests, RecordKeepersFixture.key(SHARD, 1), 1000);
+        submit(keyedRequests, RecordReplicasFixture.key(SHARD, 1), 1000);
         replicas.loop.run(6000);
         assertEquals(List.of(RequestOutcome.UNKNOWN), outcomes);
         assertEquals(0, sentCount);
@@ -233,7 +233,7 @@
     }
 
     private void adoptNextEpoch() {
-        final List<String> voters = RecordKeepersFixture.ALL.stream()
+        final List<String> voters = RecordReplicasFixture.ALL.stream()
                 .map(id -> new VoterAddress(id, "127.0.0.1", 1).toString())
                 .toList();
         final String body = Json.write(new VotingSet(voters, voters));
@@ -257,7 +257,7 @@
         replicas.stores
                 .values()
                 .forEach(replica -> replica.onWrite(
-                        new RecordWriteRequest(0, RecordKeepersFixture.keyedRecord(SHARD, 500, -1), 1), m -> {}));
+                        new RecordWriteRequest(0, RecordReplicasFixture.keyedRecord(SHARD, 500, -1), 1), m -> {}));
         adoptNextEpoch();
         submit(keyedRequests, "k2", 1000);
         replicas.loop.run(200);
--- a/data/src/test/java/org/rowanvalve/data/keyed/KeyedRetentionTest.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/KeyedRetentionTest.java
@@ -39,7 +39,7 @@
      */
     @Test
     void retentionStartsAtTheExecutedAttemptNotAtARefusedOne() {
-        final long retentionMs = RecordKeepersFixture.RETENTION.retentionMs();
+        final long retentionMs = RecordReplicasFixture.RETENTION.retentionMs();
         for (final long betweenMs : List.of(26_000L, 40_000L, 59_000L, retentionMs - 1, retentionMs + 30_000)) {
             final String key = "k-" + betweenMs;
             final KeyedRequests keyedRequests = newKeyedRequests("w" + betweenMs);
--- a/data/src/test/java/org/rowanvalve/data/keyed/RecordKeepersFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/keyed/RecordReplicasFixture.java
@@ -37,7 +37,7 @@
  * Real record replicas behind a simulated transport on virtual time, which counts messages and bytes and can delay or
  * lose responses.
  */
-final class RecordKeepersFixture implements Transport {
+final class RecordReplicasFixture implements Transport {
     static final List<NodeId> ALL = List.of(NodeId.of("a"), NodeId.of("b"), NodeId.of("c"));
     static final RecordRetention RETENTION = new RecordRetention(60_000, () -> 0);
     final VirtualTimeLoop loop = new VirtualTimeLoop();
@@ -56,7 +56,7 @@
 
     private long starts;
 
-    RecordKeepersFixture() {
+    RecordReplicasFixture() {
         ALL.forEach(id -> startReplica(id, new HashMap<>()));
     }
 
--- a/data/src/test/java/org/rowanvalve/data/limit/RetryBudgetTest.java
+++ b/data/src/test/java/org/rowanvalve/data/limit/RetryBudgetTest.java
@@ -14,17 +14,17 @@
     @Test
     void ratioAndSlackBoundTheRetriesOfEachSender() {
         final RetryBudget empty = new RetryBudget(0, 0);
-        empty.recordFirst("s", 0);
+        empty.recordFirstAttempt("s", 0);
         assertFalse(empty.trySpend("s", 0, 1));
         final RetryBudget budget = new RetryBudget(0.5, 50);
-        budget.recordFirst("s", 0);
-        budget.recordFirst("s", 0);
+        budget.recordFirstAttempt("s", 0);
+        budget.recordFirstAttempt("s", 0);
         assertFalse(budget.trySpend("s", 0, 1), "two requests earn 0.45 retries each, together less than one");
-        budget.recordFirst("s", 0);
+        budget.recordFirstAttempt("s", 0);
         assertFalse(budget.trySpend("t", 0, 1), "another service has earned no retry");
         assertTrue(budget.trySpend("s", 0, 1));
         for (int i = 0; i < 100; i++) {
-            budget.recordFirst("s", 1);
+            budget.recordFirstAttempt("s", 1);
         }
         int spent = 0;
         while (budget.trySpend("s", 1, 10)) {
@@ -45,7 +45,7 @@
                 final boolean busy = (time / 3000 + seed) % 3 != 0;
                 for (final RetryBudget budget : budgets) {
                     if (busy && random.nextInt(4) == 0) {
-                        budget.recordFirst("s", time);
+                        budget.recordFirstAttempt("s", time);
                         firstAttempts.add(time);
                     }
                     if (budget.trySpend("s", time, 4)) {
--- a/data/src/test/java/org/rowanvalve/data/origin/CancellationFixture.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/CancellationFixture.java
@@ -107,7 +107,7 @@
                     return connecting.get(connecting.size() - 1);
                 }
                 if (!permission.mayWrite()) {
-                    callback.accept(OriginResponse.without(ExchangeResult.NOT_PERMITTED, "not permitted"));
+                    callback.accept(OriginResponse.failure(ExchangeResult.NOT_PERMITTED, "not permitted"));
                     return () -> {};
                 }
                 sent.add(new Sent(origin.instance(), request.path(), callback));
@@ -135,7 +135,7 @@
                 origins,
                 configuration,
                 leases,
-                new OriginDispatcher.Surroundings(() -> true, () -> true, List::of, () -> 1),
+                new OriginDispatcher.ClusterView(() -> true, () -> true, List::of, () -> 1),
                 journal);
     }
 
--- a/data/src/test/java/org/rowanvalve/data/origin/CancelledRequestTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/CancelledRequestTest.java
@@ -117,7 +117,7 @@
         fill.cancel();
         sent.get(0)
                 .callback
-                .accept(OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "reset"));
+                .accept(OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.LOST, "reset"));
         loop.run(2000);
         assertEquals(1, sent.size());
         assertEquals(1, ends.size());
@@ -132,7 +132,7 @@
         final PendingRequest pending = new PendingRequest("/1");
         sent.get(0)
                 .callback
-                .accept(OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.LOST, "reset"));
+                .accept(OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.LOST, "reset"));
         assertEquals(1, askedForAttempts.size());
         pending.cancel();
         assertEquals(1, ends.size());
--- a/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/OriginDispatcherTest.java
@@ -61,7 +61,7 @@
         final OriginTransport originTransport = (origin, request, permission, callback) -> {
             if (!permission.mayWrite()) {
                 callback.accept(
-                        OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_PERMITTED, "barred"));
+                        OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_PERMITTED, "barred"));
                 return () -> {};
             }
             sent.add(origin.instance() + " " + request.path());
@@ -104,7 +104,7 @@
                 withoutValidation,
                 configuration,
                 leases,
-                new OriginDispatcher.Surroundings(() -> fresh, () -> withoutQuorum, () -> peers, () -> 11),
+                new OriginDispatcher.ClusterView(() -> fresh, () -> withoutQuorum, () -> peers, () -> 11),
                 journal);
     }
 
@@ -221,14 +221,14 @@
         service(0);
         origin("a", 2);
         origin("b", 2);
-        responses.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("a", OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         dispatcher.onLoadReport(NodeId.of("n2"), new LoadReport(Map.of("b", 4)));
         for (int i = 0; i < 10; i++) {
             responses.put("a", completeResponse());
             send("/earn" + i);
         }
         ends.clear();
-        responses.put("a", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("a", OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> send("/1"));
         assertEquals("a /1", sent.get(sent.size() - 1));
         assertEquals(0, ends.size(), "the request waits for the other origin");
@@ -247,7 +247,7 @@
         for (final String n : List.of("a", "b", "c")) {
             origin(n, 4);
             responses.put(
-                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
+                    n, OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
         }
         origin("d", 4);
         responses.put("d", completeResponse());
@@ -268,12 +268,12 @@
         for (final String n : List.of("a", "b", "c", "d", "e")) {
             origin(n, 4);
             responses.put(
-                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
+                    n, OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_SENT, "no circuit"));
         }
         origin("f", 4);
-        responses.put("f", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("f", OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         origin("g", 4);
-        responses.put("g", OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+        responses.put("g", OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         send(sender(0.2, 4000), originRequest("/1", false, 0, 3, 2000));
         loop.run(10);
         assertEquals(6, sent.size(), "one request must not add a full retry to the budget: " + sent);
@@ -291,8 +291,8 @@
                 List.of(OriginTransport.ExchangeResult.LOST, OriginTransport.ExchangeResult.INVALID)) {
             sent.clear();
             ends.clear();
-            responses.put("a", OriginTransport.OriginResponse.without(end, "lost"));
-            responses.put("b", OriginTransport.OriginResponse.without(end, "lost"));
+            responses.put("a", OriginTransport.OriginResponse.failure(end, "lost"));
+            responses.put("b", OriginTransport.OriginResponse.failure(end, "lost"));
             send(sender(100, 100_000), originRequest("/1", true, 0, 5, 2000));
             loop.run(2100);
             assertEquals(1, sent.size(), end.name());
@@ -321,7 +321,7 @@
         for (final String n : List.of("a", "b", "c")) {
             origin(n, 4);
             responses.put(
-                    n, OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+                    n, OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         }
         send(sender(100, 100_000), originRequest("/1", true, 0, 2, 2000));
         loop.run(10);
@@ -340,7 +340,7 @@
         origin("b", 4);
         responses.put(
                 "a",
-                OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.WRONG_INSTANCE, "status 421"));
+                OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.WRONG_INSTANCE, "status 421"));
         responses.put("b", completeResponse());
         final OriginDispatcher sender = sender(100, 100_000);
         for (int i = 0; i < 10; i++) {
@@ -363,7 +363,7 @@
             origin("o" + i, 4);
             responses.put(
                     "o" + i,
-                    OriginTransport.OriginResponse.without(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
+                    OriginTransport.OriginResponse.failure(OriginTransport.ExchangeResult.NOT_EXECUTED, "full"));
         }
         send(sender(100, 60, Role.EDGE), originRequest("/1", false, 0, 40, 9000));
         loop.run(100);
--- a/data/src/test/java/org/rowanvalve/data/origin/UnconfirmedRequestTest.java
+++ b/data/src/test/java/org/rowanvalve/data/origin/UnconfirmedRequestTest.java
@@ -60,7 +60,7 @@
         connecting
                 .get(0)
                 .callback
-                .accept(OriginTransport.OriginResponse.without(
+                .accept(OriginTransport.OriginResponse.failure(
                         OriginTransport.ExchangeResult.NOT_PERMITTED, "not permitted"));
         loop.run(5);
         assertEquals(1, connecting.size());
--- a/data/src/test/java/org/rowanvalve/data/shield/ForwardConfirmationTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ForwardConfirmationTest.java
@@ -56,7 +56,7 @@
         return open(EDGE, "boot-1", serial);
     }
 
-    private static void assertStanding(final Cancellation.Standing expected, final Cancellation... cancellations) {
+    private static void assertStanding(final Cancellation.State expected, final Cancellation... cancellations) {
         for (final Cancellation cancellation : cancellations) {
             assertEquals(expected, cancellation.poll());
         }
@@ -66,9 +66,9 @@
     void noEdgeIsAskedWithoutAPause() {
         final Cancellation request = open(1);
         loop.run(5000);
-        assertStanding(Cancellation.Standing.WANTED, request);
+        assertStanding(Cancellation.State.WANTED, request);
         loop.pause(200);
-        assertStanding(Cancellation.Standing.WANTED, request);
+        assertStanding(Cancellation.State.WANTED, request);
         loop.run(5000);
         assertEquals(0, queries.size());
     }
@@ -81,16 +81,16 @@
         final Cancellation ofOtherEdge = open(NodeId.of("edge-2"), "boot-7", 1);
         loop.run(400);
         loop.pause(PAUSE_MS);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, confirmed, cancelled, ofOtherEdge);
+        assertStanding(Cancellation.State.UNCONFIRMED, confirmed, cancelled, ofOtherEdge);
         loop.run(1);
         assertEquals(2, queries.size(), "one query for each edge");
         final Query query = queries.get(0).to().equals(EDGE) ? queries.get(0) : queries.get(1);
         assertEquals(List.of(1L, 2L), query.serials());
         assertEquals("boot-1", query.request().incarnation());
         query.respond(1L);
-        assertStanding(Cancellation.Standing.WANTED, confirmed);
-        assertStanding(Cancellation.Standing.CANCELLED, cancelled);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, ofOtherEdge);
+        assertStanding(Cancellation.State.WANTED, confirmed);
+        assertStanding(Cancellation.State.CANCELLED, cancelled);
+        assertStanding(Cancellation.State.UNCONFIRMED, ofOtherEdge);
     }
 
     @Test
@@ -100,11 +100,11 @@
         loop.run(300);
         final List<Cancellation> read =
                 IntStream.rangeClosed(1, 20).mapToObj(this::open).toList();
-        read.forEach(request -> assertStanding(Cancellation.Standing.UNCONFIRMED, request));
+        read.forEach(request -> assertStanding(Cancellation.State.UNCONFIRMED, request));
         loop.run(1);
         assertEquals(1, queries.size(), "one query for all requests read at a time");
         loop.run(PauseMonitor.CATCH_UP_MS);
-        assertStanding(Cancellation.Standing.WANTED, open(21));
+        assertStanding(Cancellation.State.WANTED, open(21));
     }
 
     @Test
@@ -118,13 +118,13 @@
         queries.get(0).fail();
         loop.run(150);
         assertEquals(List.of(1L), queries.get(1).serials(), "answered requests are left out");
-        assertStanding(Cancellation.Standing.UNCONFIRMED, request);
+        assertStanding(Cancellation.State.UNCONFIRMED, request);
         for (int i = 1; i < queries.size() && i < 100; i++) {
             queries.get(i).fail();
             loop.run(150);
         }
         assertEquals(CancelCause.EDGE_DISCONNECTED, request.cause());
-        assertStanding(Cancellation.Standing.UNCONFIRMED, answered);
+        assertStanding(Cancellation.State.UNCONFIRMED, answered);
     }
 
     /** The request may have been cancelled between the response and the end of the second pause. */
@@ -136,10 +136,10 @@
         loop.run(1);
         loop.pause(PAUSE_MS);
         queries.get(0).respond(1L);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, request);
+        assertStanding(Cancellation.State.UNCONFIRMED, request);
         loop.run(1);
         queries.get(1).respond(1L);
-        assertStanding(Cancellation.Standing.WANTED, request);
+        assertStanding(Cancellation.State.WANTED, request);
     }
 
     @Test
@@ -147,7 +147,7 @@
         final Cancellation request = open(EDGE, null, 1);
         loop.run(400);
         loop.pause(PAUSE_MS);
-        assertStanding(Cancellation.Standing.WANTED, request);
+        assertStanding(Cancellation.State.WANTED, request);
         loop.run(1);
         assertEquals(0, queries.size());
     }
@@ -165,7 +165,7 @@
         fill.join(waiter(second));
         loop.run(400);
         loop.pause(PAUSE_MS);
-        assertStanding(Cancellation.Standing.UNCONFIRMED, fill.cancellation());
+        assertStanding(Cancellation.State.UNCONFIRMED, fill.cancellation());
         final List<String> settled = new ArrayList<>();
         fill.cancellation().onSettled(() -> settled.add("settled"));
         loop.run(1);
@@ -173,8 +173,8 @@
         assertEquals(List.of(), settled, "the second request may still wait");
         queries.get(0).respond(2L);
         assertEquals(List.of("settled"), settled);
-        assertStanding(Cancellation.Standing.WANTED, fill.cancellation());
+        assertStanding(Cancellation.State.WANTED, fill.cancellation());
         second.request(CancelCause.CLIENT_LEFT);
-        assertStanding(Cancellation.Standing.CANCELLED, fill.cancellation());
+        assertStanding(Cancellation.State.CANCELLED, fill.cancellation());
     }
 }
--- a/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
+++ b/data/src/test/java/org/rowanvalve/data/shield/ShieldTest.java
@@ -86,7 +86,7 @@
             new AnsweringOrigins(loop, sent),
             configuration,
             leases,
-            new OriginDispatcher.Surroundings(() -> true, () -> false, List::of, () -> 1),
+            new OriginDispatcher.ClusterView(() -> true, () -> false, List::of, () -> 1),
             journal);
     private boolean viewFresh = true;
     private Long edgeRouteVersion;
--- a/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
+++ b/server/src/main/java/org/rowanvalve/server/cli/ControlCommand.java
@@ -72,7 +72,7 @@
     }
 
     public static void main(final String[] args) throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         System.exit(run(args, System.out, System.err));
     }
 
--- a/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
+++ b/server/src/main/java/org/rowanvalve/server/http/ControlApi.java
@@ -177,7 +177,7 @@
     private void configuration(final Call call, final Consumer<ApiResponse> callback) {
         switch (call.method()) {
             case "PUT" -> node.configurationService().applyConfiguration(call.body(), callback);
-            case "GET" -> node.configurationService().inContact(this::wholeConfiguration, callback);
+            case "GET" -> node.configurationService().readConfirmed(this::wholeConfiguration, callback);
             default -> callback.accept(methodNotAllowed());
         }
     }
@@ -220,7 +220,7 @@
         if (call.method().equals("GET")) {
             if (call.pathPart(2).isEmpty()) {
                 node.configurationService()
-                        .inContact(() -> node.configurationService().listItems(ItemKind.ORIGIN), callback);
+                        .readConfirmed(() -> node.configurationService().listItems(ItemKind.ORIGIN), callback);
             } else {
                 withVersionsInForce(new ItemId(ItemKind.ORIGIN, call.pathPart(2)), callback);
             }
@@ -256,7 +256,7 @@
     private void listItems(final Call call, final ItemKind kind, final Consumer<ApiResponse> callback) {
         if (call.method().equals("GET")) {
             node.configurationService()
-                    .inContact(() -> node.configurationService().listItems(kind), callback);
+                    .readConfirmed(() -> node.configurationService().listItems(kind), callback);
         } else {
             callback.accept(methodNotAllowed());
         }
@@ -264,13 +264,14 @@
 
     /** The declared version, and the version in force on every node that answers. */
     private void withVersionsInForce(final ItemId id, final Consumer<ApiResponse> callback) {
-        node.configurationService().inContact(() -> node.configurationService().getItem(id), stated -> {
-            if (stated.status() == 503) {
-                callback.accept(stated);
-            } else {
-                withVersionsInForce(id, stated, callback);
-            }
-        });
+        node.configurationService()
+                .readConfirmed(() -> node.configurationService().getItem(id), stated -> {
+                    if (stated.status() == 503) {
+                        callback.accept(stated);
+                    } else {
+                        withVersionsInForce(id, stated, callback);
+                    }
+                });
     }
 
     private void withVersionsInForce(final ItemId id, final ApiResponse stated, final Consumer<ApiResponse> callback) {
--- a/server/src/main/java/org/rowanvalve/server/log/EventLog.java
+++ b/server/src/main/java/org/rowanvalve/server/log/EventLog.java
@@ -98,7 +98,7 @@
     }
 
     /** Returns how many events were dropped because the ring buffer was full. */
-    public long shed() {
+    public long droppedEvents() {
         return dropped.get();
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
+++ b/server/src/main/java/org/rowanvalve/server/log/LogLineFormatter.java
@@ -13,7 +13,7 @@
  * caller's name at each entry.
  */
 public final class LogLineFormatter extends Formatter {
-    public static void use() {
+    public static void install() {
         final LogLineFormatter formatter = new LogLineFormatter();
         for (final Handler handler : Logger.getLogger("").getHandlers()) {
             handler.setFormatter(formatter);
--- a/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
+++ b/server/src/main/java/org/rowanvalve/server/options/OptionValidator.java
@@ -266,7 +266,7 @@
     }
 
     private List<String> list(final String name) {
-        object.knownMembers(name);
+        object.markKnown(name);
         final Object value = members.get(name);
         if (value == null) {
             return List.of();
--- a/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
+++ b/server/src/main/java/org/rowanvalve/server/origin/HttpOriginTransport.java
@@ -90,7 +90,7 @@
             loop.schedule(
                     Math.max(50, request.timeoutMs()),
                     () -> finish(
-                            OriginResponse.without(
+                            OriginResponse.failure(
                                     sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "no answer in time"),
                             false));
             final IdleConnections.Rested rested =
@@ -103,14 +103,14 @@
             }
             if (!httpClient.isStarted()) {
                 loop.execute(() -> finish(
-                        OriginResponse.without(ExchangeResult.NOT_SENT, "the client is not started yet"), false));
+                        OriginResponse.failure(ExchangeResult.NOT_SENT, "the client is not started yet"), false));
                 return;
             }
             final Destination destination = httpClient.resolveDestination(newRequest("GET", "/"));
             destination.newConnection(Promise.from(
                     opened -> loop.execute(() -> onConnected(opened)),
                     failure -> loop.execute(() -> finish(
-                            OriginResponse.without(ExchangeResult.NOT_SENT, "no circuit: " + failure.getMessage()),
+                            OriginResponse.failure(ExchangeResult.NOT_SENT, "no circuit: " + failure.getMessage()),
                             false))));
         }
 
@@ -166,12 +166,12 @@
                 identity = null;
             }
             if (identity == null) {
-                finish(OriginResponse.without(ExchangeResult.NOT_SENT, "identity status " + status), false);
+                finish(OriginResponse.failure(ExchangeResult.NOT_SENT, "identity status " + status), false);
             } else if (!origin.service().equals(identity.service())
                     || !origin.instance().equals(identity.instance())) {
-                finish(OriginResponse.without(ExchangeResult.WRONG_INSTANCE, "identity " + identity), false);
+                finish(OriginResponse.failure(ExchangeResult.WRONG_INSTANCE, "identity " + identity), false);
             } else if (loop.now() >= deadline) {
-                finish(OriginResponse.without(ExchangeResult.NOT_SENT, "too late to send"), true);
+                finish(OriginResponse.failure(ExchangeResult.NOT_SENT, "too late to send"), true);
             } else {
                 sendRequest();
             }
@@ -186,7 +186,7 @@
             }
             if (!permission.mayWrite()) {
                 finish(
-                        OriginResponse.without(
+                        OriginResponse.failure(
                                 ExchangeResult.NOT_PERMITTED, "the right to send ended before the bytes left"),
                         true);
                 return;
@@ -199,7 +199,7 @@
         private void onCollected(final ResponseCollector.Collected collected) {
             final OriginResponse response = collected.isWhole()
                     ? toResponse(collected.status(), collected.headers(), collected.body())
-                    : OriginResponse.without(
+                    : OriginResponse.failure(
                             ExchangeResult.LOST,
                             String.valueOf(collected.failure().getMessage()));
             loop.execute(() -> onResponse(response, collected.isWhole()));
@@ -222,12 +222,12 @@
                 headers.put(field.getLowerCaseName(), field.getValue());
             }
             if (status < HttpStatus.OK_200) {
-                return OriginResponse.without(ExchangeResult.INVALID, "status " + status + " as the last answer");
+                return OriginResponse.failure(ExchangeResult.INVALID, "status " + status + " as the last answer");
             }
             final OriginResponse response = protocol.read(origin, request, status, headers, body);
             final String fault =
                     response.result() == ExchangeResult.COMPLETE ? protocol.error(origin, request, response) : "";
-            return fault.isEmpty() ? response : OriginResponse.without(ExchangeResult.INVALID, fault);
+            return fault.isEmpty() ? response : OriginResponse.failure(ExchangeResult.INVALID, fault);
         }
 
         private void finish(final OriginResponse response, final boolean reuse) {
--- a/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
+++ b/server/src/main/java/org/rowanvalve/server/process/InProcessWarmup.java
@@ -167,7 +167,7 @@
             loop.execute(() -> callback.accept(
                     permission.mayWrite()
                             ? protocol.read(origin, request, 200, headers, new byte[RESPONSE_BYTES])
-                            : OriginResponse.without(ExchangeResult.NOT_PERMITTED, "")));
+                            : OriginResponse.failure(ExchangeResult.NOT_PERMITTED, "")));
             return () -> {};
         }
 
@@ -243,7 +243,7 @@
      */
     private void awaitReady() {
         if (edge.configuration().routesByPrecedence().size() == 3
-                && edge.edge().isAble()
+                && edge.edge().canServe()
                 && edge.viewSynchronizer().isFresh()) {
             loop.runInRealTime();
             settled = true;
--- a/server/src/main/java/org/rowanvalve/server/process/Main.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Main.java
@@ -28,7 +28,7 @@
             System.err.println("usage: rwstore | rwshield | rwedge [options], see --help");
             System.exit(2);
         }
-        quiet();
+        configureLogging();
         final Role role = Arrays.stream(Role.values())
                 .filter(r -> r.label().equals(args[0]))
                 .findFirst()
@@ -59,8 +59,8 @@
     }
 
     /** Sets the log format and keeps the HTTP library's messages below warnings out of the log. */
-    public static void quiet() {
-        LogLineFormatter.use();
+    public static void configureLogging() {
+        LogLineFormatter.install();
         JETTY.setLevel(java.util.logging.Level.WARNING);
     }
 }
--- a/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
@@ -102,7 +102,7 @@
     OriginTransport port(final CoreEventLoop loop, final Provider<HttpClient> http) {
         return options.role() == Role.STORE
                 ? (origin, request, permission, callback) -> {
-                    loop.execute(() -> callback.accept(OriginTransport.OriginResponse.without(
+                    loop.execute(() -> callback.accept(OriginTransport.OriginResponse.failure(
                             OriginTransport.ExchangeResult.NOT_SENT, "stores send nothing to origins")));
                     return () -> {};
                 }
--- a/server/src/main/java/org/rowanvalve/server/process/Program.java
+++ b/server/src/main/java/org/rowanvalve/server/process/Program.java
@@ -109,19 +109,19 @@
         startTransport(components, optionWatcher);
         final Options votersKnown = findVoters(module, components, optionWatcher);
         final Node node = components.node();
-        startupTimer.end("node");
+        startupTimer.endPhase("node");
         components.net().setHandler(node::handle);
         if (options.role() == Role.SHIELD) {
             start(components.client());
         }
-        startupTimer.end("client");
+        startupTimer.endPhase("client");
         startNode(components, node);
         optionWatcher.listen(current -> components.loop().execute(() -> reloadSettings(current, node)));
-        startupTimer.end("begin");
+        startupTimer.endPhase("begin");
         final int warmedRequests = new WarmupRequests(options, frontends).run(components);
-        startupTimer.end("warmup");
+        startupTimer.endPhase("warmup");
         openAddresses(new ProcessContext(components.loop(), node, components.net(), votersKnown));
-        startupTimer.end("http");
+        startupTimer.endPhase("http");
         journalReady(components, warmedRequests);
         if (options.role() == Role.EDGE) {
             start(components.client());
@@ -133,7 +133,7 @@
         if (components.disk() instanceof SqliteStorage sqlite) {
             sqlite.open(reason -> components.journal().add(Event.of(EventCode.DISK_SLOW, "why", reason)));
         }
-        startupTimer.end("disk");
+        startupTimer.endPhase("disk");
     }
 
     private void startTransport(final ProcessComponent components, final OptionWatcher optionWatcher)
@@ -148,7 +148,7 @@
             throw new IOException("wire address " + options.peerAddress() + " cannot be used: " + e.getMessage(), e);
         }
         components.loop().start();
-        startupTimer.end("wire");
+        startupTimer.endPhase("wire");
         optionWatcher.listen(current -> updateAddresses(current, components.net()));
     }
 
@@ -167,7 +167,7 @@
         final Options votersKnown = discovery.findVoters();
         module.setVoters(votersKnown, discovery.voters());
         votersKnown.knownAddresses().forEach(components.net()::learnAddress);
-        startupTimer.end("seats");
+        startupTimer.endPhase("seats");
         return votersKnown;
     }
 
@@ -179,7 +179,7 @@
                         "http",
                         options.controlAddress().toString(),
                         "ms",
-                        startupTimer.whole(),
+                        startupTimer.totalMs(),
                         "parts",
                         startupTimer.toString(),
                         "rehearsed",
--- a/server/src/main/java/org/rowanvalve/server/process/StartupTimer.java
+++ b/server/src/main/java/org/rowanvalve/server/process/StartupTimer.java
@@ -9,13 +9,13 @@
     private final long startNanos = System.nanoTime();
     private long phaseStartNanos = startNanos;
 
-    public synchronized void end(final String phase) {
+    public synchronized void endPhase(final String phase) {
         final long now = System.nanoTime();
         durationsMs.put(phase, (now - phaseStartNanos) / 1_000_000);
         phaseStartNanos = now;
     }
 
-    public synchronized long whole() {
+    public synchronized long totalMs() {
         return (System.nanoTime() - startNanos) / 1_000_000;
     }
 
--- a/server/src/test/java/org/rowanvalve/server/http/ClientEndPointTest.java
+++ b/server/src/test/java/org/rowanvalve/server/http/ClientEndPointTest.java
@@ -54,7 +54,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         server.setHandler(addresses);
         Program.startServer(server, "server");
         port = addresses.open(
--- a/server/src/test/java/org/rowanvalve/server/http/ConnectionLimitTest.java
+++ b/server/src/test/java/org/rowanvalve/server/http/ConnectionLimitTest.java
@@ -37,7 +37,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         server.setHandler(all);
         Program.startServer(server, "server");
         port = all.open("address ", new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), handler(), MOST);
--- a/server/src/test/java/org/rowanvalve/server/origin/EarlyResponsesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/EarlyResponsesTest.java
@@ -36,7 +36,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         loop.start();
         http.start();
         transport = new HttpOriginTransport(loop, http, new PlainOriginProtocol() {
--- a/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/ForgottenConnectionTest.java
@@ -49,7 +49,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         final Thread acceptor = new Thread(this::accept, "origin");
         acceptor.setDaemon(true);
--- a/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/IdleConnectionsTest.java
@@ -46,7 +46,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         link.setHost("127.0.0.1");
         link.getConnectionFactory(HttpConnectionFactory.class)
                 .getHttpConfiguration()
--- a/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
+++ b/server/src/test/java/org/rowanvalve/server/origin/OriginResponsesTest.java
@@ -47,7 +47,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        Main.quiet();
+        Main.configureLogging();
         loop.start();
         http.start();
         port = new HttpOriginTransport(loop, http, BY_ID);
--- a/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/TestKit.java
@@ -44,7 +44,7 @@
     private TestKit() {}
 
     public static void main(final String[] args) throws Exception {
-        org.rowanvalve.server.process.Main.quiet();
+        org.rowanvalve.server.process.Main.configureLogging();
         final OptionParser parser = new OptionParser();
         parser.accepts("seeds", "one seed or a range: 1..20").withRequiredArg().defaultsTo("1");
         parser.accepts("troubles", "how many troubles a day from a seed has")
--- a/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scale/LightweightNode.java
@@ -73,7 +73,7 @@
                 .shards(seat.shards())
                 .build();
         final org.rowanvalve.data.origin.OriginTransport none = (origin, request, gate, then) -> {
-            then.accept(org.rowanvalve.data.origin.OriginTransport.OriginResponse.without(
+            then.accept(org.rowanvalve.data.origin.OriginTransport.OriginResponse.failure(
                     org.rowanvalve.data.origin.OriginTransport.ExchangeResult.NOT_SENT, "hollow"));
             return () -> {};
         };
--- a/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/scenario/Scenario.java
@@ -169,7 +169,7 @@
         final String name = object.text("name", true, "");
         final String place = object.oneOf("place", Deployment.NAMES);
         final long seconds = object.wholeNumber("seconds", true, 60, 1, 3600);
-        object.knownMembers("steps");
+        object.markKnown("steps");
         final Deployment at = Deployment.NAMES.contains(place) ? Deployment.of(place) : Deployment.kilimanjaro();
         final List<Step> steps = new ArrayList<>();
         if (value instanceof Map<?, ?> m && m.get("steps") instanceof List<?> list) {
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimCluster.java
@@ -390,7 +390,7 @@
     public String boss() {
         return nodes.values().stream()
                 .filter(node -> node.alive()
-                        && node.node().settings().arbitrates()
+                        && node.node().settings().isLeaderEligible()
                         && node.node().election().isLeader())
                 .map(node -> node.id().text())
                 .findFirst()
--- a/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
+++ b/testkit/src/main/java/org/rowanvalve/testkit/sim/SimOriginTransport.java
@@ -113,11 +113,11 @@
         }
 
         void broken() {
-            end(OriginResponse.without(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "circuit reset"));
+            end(OriginResponse.failure(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "circuit reset"));
         }
 
         void late() {
-            end(OriginResponse.without(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "no answer in time"));
+            end(OriginResponse.failure(sent ? ExchangeResult.LOST : ExchangeResult.NOT_SENT, "no answer in time"));
         }
 
         private void hop(final Runnable job) {
@@ -140,7 +140,7 @@
             hop(() -> {
                 final SimOrigin who = yard.sites.get(origin.host());
                 if (who == null || !who.alive()) {
-                    self.execute(() -> end(OriginResponse.without(ExchangeResult.NOT_SENT, "connection refused")));
+                    self.execute(() -> end(OriginResponse.failure(ExchangeResult.NOT_SENT, "connection refused")));
                     return;
                 }
                 hop(() -> self.execute(() -> {
@@ -149,7 +149,7 @@
                     }
                     if (!who.stock().service().equals(origin.service())
                             || !who.stamp().equals(origin.instance())) {
-                        end(OriginResponse.without(
+                        end(OriginResponse.failure(
                                 ExchangeResult.WRONG_INSTANCE,
                                 "identity " + who.stock().service() + " " + who.stamp()));
                         return;
@@ -162,14 +162,14 @@
 
         private void go(final SimOrigin who, final long life) {
             if (!gate.mayWrite()) {
-                end(OriginResponse.without(
+                end(OriginResponse.failure(
                         ExchangeResult.NOT_PERMITTED, "the right to send ended before the bytes left"));
                 return;
             }
             sent = true;
             hop(() -> {
                 if (!who.alive() || who.life() != life) {
-                    self.execute(() -> end(OriginResponse.without(ExchangeResult.LOST, "circuit reset")));
+                    self.execute(() -> end(OriginResponse.failure(ExchangeResult.LOST, "circuit reset")));
                     return;
                 }
                 arrive(who, life);
@@ -183,7 +183,7 @@
             if (slots > 0 && here > 2 * slots || who.fault().equals("full")) {
                 who.exit();
                 hop(() -> self.execute(
-                        () -> end(OriginResponse.without(ExchangeResult.NOT_EXECUTED, "every slot is taken"))));
+                        () -> end(OriginResponse.failure(ExchangeResult.NOT_EXECUTED, "every slot is taken"))));
                 return;
             }
             yard.senders.put(request.requestId(), self.id().text());
@@ -231,7 +231,7 @@
                 if (who.alive() && who.life() == life) {
                     hop(() -> self.execute(() -> end(whole(who, run, text))));
                 } else {
-                    hop(() -> self.execute(() -> end(OriginResponse.without(ExchangeResult.LOST, "circuit reset"))));
+                    hop(() -> self.execute(() -> end(OriginResponse.failure(ExchangeResult.LOST, "circuit reset"))));
                 }
             });
         }
--- a/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/LeaseHolderTest.java
@@ -204,8 +204,7 @@
                 },
                 configuration,
                 leases,
-                new org.rowanvalve.data.origin.OriginDispatcher.Surroundings(
-                        () -> true, () -> false, List::of, () -> 1),
+                new org.rowanvalve.data.origin.OriginDispatcher.ClusterView(() -> true, () -> false, List::of, () -> 1),
                 journal);
         final List<org.rowanvalve.data.origin.OriginDispatcher.Completion> completions = new ArrayList<>();
         for (final String path : List.of("/1", "/2")) {
@@ -271,7 +270,7 @@
                     callback -> {
                         events.add("sent");
                         callback.accept(new org.rowanvalve.data.origin.OriginDispatcher.Completion(
-                                org.rowanvalve.data.origin.OriginTransport.OriginResponse.without(
+                                org.rowanvalve.data.origin.OriginTransport.OriginResponse.failure(
                                         org.rowanvalve.data.origin.OriginTransport.ExchangeResult.LOST, "lost"),
                                 true,
                                 0,
--- a/testkit/src/test/java/org/rowanvalve/testkit/OwnerOnlyRouting.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/OwnerOnlyRouting.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public boolean takesCancels(final NodeId id) {
+    public boolean supportsCancel(final NodeId id) {
         return true;
     }
 }
--- a/testkit/src/test/java/org/rowanvalve/testkit/RecordKeeperTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/RecordReplicaTest.java
@@ -32,7 +32,7 @@
 import org.rowanvalve.testkit.sim.VirtualTime;
 
 /** Replicas of the intents and outcomes of keyed requests: eras, token floors and lost records. */
-class RecordKeeperTest {
+class RecordReplicaTest {
     private static final org.rowanvalve.control.record.RecordRetention RETENTION =
             new org.rowanvalve.control.record.RecordRetention(60_000, () -> 0);
     private final VirtualTime time = new VirtualTime(1);
--- a/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
+++ b/testkit/src/test/java/org/rowanvalve/testkit/ResumeTest.java
@@ -158,7 +158,7 @@
         cluster.run(9000);
         assertTrue(Leadership.of(cluster.node("ed1").node().items().get(ItemId.LEADERSHIP))
                         .term()
-                >= before + LeaderElection.TERM_LEAP);
+                >= before + LeaderElection.SKIPPED_TERMS);
         assertTrue(cluster.node("sh3").node().leaseHolder().heldCount() > 0);
     }
 
@@ -253,7 +253,7 @@
         }
         assertTrue(took.get(0) >= 400 && took.get(0) <= 460, took.toString());
         assertTrue(took.get(1) <= 30 && took.get(2) <= 30, took.toString());
-        assertEquals(1, cluster.node("ed1").node().storeHealth().silent().size());
+        assertEquals(1, cluster.node("ed1").node().storeHealth().silentStores().size());
         assertEquals(
                 1,
                 cluster.log().rows().stream()
@@ -266,7 +266,7 @@
                         .configurationService()
                         .deleteItem(new ItemId(ItemKind.ROUTE, "x0"), 1, "d", response -> {}));
         cluster.run(1000);
-        assertEquals(0, cluster.node("ed1").node().storeHealth().silent().size());
+        assertEquals(0, cluster.node("ed1").node().storeHealth().silentStores().size());
     }
 
     /** What a full disk could not take is owed to it: once there is room it stands there, and the other disk may go. */
