--- a/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
+++ b/data/src/main/java/org/rowanvalve/data/node/GracefulShutdown.java
@@ -21,11 +21,11 @@
     private static final long QUIET_MS = 250;
 
     /** How long a shield without leases waits for a plan that no longer names it. */
-    private static final long HANDOVER_TIMEOUT_MS = 2500;
+    private static final long HANDOVER_TIMEOUT_MILLIS = 2500;
 
     private static final long DRAIN_POLL_INTERVAL_MS = 50;
     /** How long a draining voter waits for its replacement. */
-    private static final long REPLACEMENT_TIMEOUT_MS = 3500;
+    private static final long REPLACEMENT_TIMEOUT_MILLIS = 3500;
 
     private final Node node;
     private final EventLoop loop;
@@ -94,7 +94,7 @@
 
     /**
      * Whether this shield has no leases and the placement plan no longer names it. If no leader updates the plan, the
-     * shield stops waiting {@link #HANDOVER_TIMEOUT_MS} after it gave up its last lease.
+     * shield stops waiting {@link #HANDOVER_TIMEOUT_MILLIS} after it gave up its last lease.
      */
     private boolean areShardsHandedOver() {
         if (node.shield().isEmpty()) {
@@ -106,12 +106,12 @@
         }
         return node.configuration().plan().assignments().stream()
                         .noneMatch(assignment -> assignment.owner().equals(self.text()))
-                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MS;
+                || loop.now() - withoutLeasesSince > HANDOVER_TIMEOUT_MILLIS;
     }
 
     /**
      * Whether a voting set without this node is confirmed. The node does not wait for one if there is no standby, or after
-     * {@link #REPLACEMENT_TIMEOUT_MS}.
+     * {@link #REPLACEMENT_TIMEOUT_MILLIS}.
      */
     private boolean isVoterReplaced() {
         if (!wasVoter || !node.settings().votersMayChange()) {
@@ -122,7 +122,7 @@
         final boolean replacedByOther = !votingConfiguration.isVoter(self) && view.isConfirmedInEpoch();
         final boolean noStandby =
                 votingConfiguration.isVoter(self) && !hasStandby(votingConfiguration, node.membership());
-        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MS;
+        final boolean finished = replacedByOther || noStandby || loop.now() - startedAt >= REPLACEMENT_TIMEOUT_MILLIS;
         if (finished && !outcomeJournaled) {
             outcomeJournaled = true;
             journal.add(Event.of(
