--- a/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
+++ b/data/src/main/java/org/rowanvalve/data/origin/OriginDispatcher.java
@@ -70,7 +70,7 @@
                 final BooleanSupplier withoutQuorum,
                 final Supplier<List<NodeId>> peers,
                 final IntSupplier edgeCount) {
-            ClusterView(viewFresh, withoutQuorum, peers, edgeCount, () -> 1);
+            this(viewFresh, withoutQuorum, peers, edgeCount, () -> 1);
         }
     }
 
