--- a/control/src/main/java/org/rowanvalve/control/config/Route.java
+++ b/control/src/main/java/org/rowanvalve/control/config/Route.java
@@ -29,7 +29,7 @@
         @JsonProperty("tries") int maxAttempts,
         String note) {
 
-    private static final int DEFAULT_MAX_ATTEMPTS = 3;
+    private static final int DEFAULT_ATTEMPT_LIMIT = 3;
 
     /** One service of a route whose requests are split over several services, with its weight. */
     public record WeightedService(String service, int weight) {}
@@ -38,7 +38,7 @@
         condition = condition == null ? "" : condition;
         host = host == null ? "" : host;
         split = split == null ? List.of() : List.copyOf(split);
-        maxAttempts = maxAttempts <= 0 ? DEFAULT_MAX_ATTEMPTS : maxAttempts;
+        maxAttempts = maxAttempts <= 0 ? DEFAULT_ATTEMPT_LIMIT : maxAttempts;
         note = note == null ? "" : note;
     }
 
--- a/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/Proposer.java
@@ -40,13 +40,13 @@
  */
 public final class Proposer {
     /** Time-out of a prepare or accept request to one voter. */
-    private static final long REQUEST_TIMEOUT_MS = 600;
+    private static final long REQUEST_TIMEOUT_MILLIS = 600;
 
-    private static final long MIN_PREPARE_TIMEOUT_MS = 20;
+    private static final long MIN_PREPARE_TIMEOUT_MILLIS = 20;
     /** A prepare request times out this long before the deadline of its proposal. */
     private static final long PREPARE_TIMEOUT_MARGIN_MS = 20;
 
-    private static final long MIN_CONFIRM_TIMEOUT_MS = 200;
+    private static final long MIN_CONFIRM_TIMEOUT_MILLIS = 200;
     private static final int MIN_BACKOFF_MS = 5;
     /** The random part of the backoff is below this bound, plus one step for each failed attempt. */
     private static final int BACKOFF_RANGE_MS = 15;
@@ -235,8 +235,8 @@
                         voter,
                         new PrepareRequest(quorum.epoch(), id, ballot),
                         Math.max(
-                                MIN_PREPARE_TIMEOUT_MS,
-                                Math.min(REQUEST_TIMEOUT_MS, deadline - loop.now() - PREPARE_TIMEOUT_MARGIN_MS)),
+                                MIN_PREPARE_TIMEOUT_MILLIS,
+                                Math.min(REQUEST_TIMEOUT_MILLIS, deadline - loop.now() - PREPARE_TIMEOUT_MARGIN_MS)),
                         reply -> onPrepareResponse(voter, requestPhase, reply));
             }
         }
@@ -315,7 +315,7 @@
             }
             read(
                     id,
-                    Math.max(MIN_CONFIRM_TIMEOUT_MS, deadline - loop.now()),
+                    Math.max(MIN_CONFIRM_TIMEOUT_MILLIS, deadline - loop.now()),
                     reply -> complete(
                             reply.isAccepted()
                                     ? sent
@@ -341,7 +341,7 @@
                 transport.request(
                         voter,
                         new AcceptRequest(quorum.epoch(), ballot, item, nextBallot),
-                        REQUEST_TIMEOUT_MS,
+                        REQUEST_TIMEOUT_MILLIS,
                         reply -> onAcceptResponse(voter, requestPhase, sentAt, item, reply));
             }
             loop.schedule(StoreHealth.SILENCE_TIMEOUT_MILLIS, () -> checkAccepted(requestPhase, sentAt, item));
--- a/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/consensus/UnfinishedWriteRecovery.java
@@ -38,7 +38,7 @@
 
     private static final long INTERVAL_MS = 50;
     /** A value is read by ballot after it has been unknown for this time, even if no comparison has examined it. */
-    private static final long COMPARISON_TIMEOUT_MS = 2000;
+    private static final long COMPARISON_TIMEOUT_MILLIS = 2000;
 
     private static final long READ_TIMEOUT_MILLIS = 700;
     /** For this time after the start, values found on disk are completed sooner than others. */
@@ -214,7 +214,7 @@
     private boolean mayBeRead(final ItemId id) {
         return URGENT.contains(id.kind())
                 || examined.contains(id)
-                || loop.now() - unknownSince.get(id) >= COMPARISON_TIMEOUT_MS;
+                || loop.now() - unknownSince.get(id) >= COMPARISON_TIMEOUT_MILLIS;
     }
 
     private boolean isStartupRecovery(final ItemId id) {
--- a/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
+++ b/control/src/main/java/org/rowanvalve/control/election/LeaderElection.java
@@ -30,7 +30,7 @@
     public static final long SKIPPED_TERMS = 1_000_000;
 
     private static final long CAMPAIGN_CHECK_INTERVAL_MS = 25;
-    private static final long RESIGN_TIMEOUT_MS = 1500;
+    private static final long RESIGN_TIMEOUT_MILLIS = 1500;
 
     private final NodeId self;
     private final String incarnation;
@@ -229,7 +229,7 @@
             return;
         }
         stepDown();
-        writeLeadership(true, term, RESIGN_TIMEOUT_MS, result -> callback.run());
+        writeLeadership(true, term, RESIGN_TIMEOUT_MILLIS, result -> callback.run());
     }
 
     /** Stops acting as leader immediately without a write; the lease in the register expires on its own. */
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseHolder.java
@@ -44,7 +44,7 @@
     private static final long CHECK_INTERVAL_MS = 50;
     private static final long RENEWAL_RETRY_MS = 200;
     private static final long HELLO_INTERVAL_MS = 500;
-    private static final long HELLO_TIMEOUT_MS = 450;
+    private static final long HELLO_TIMEOUT_MILLIS = 450;
     /** Delay before a hello is repeated after the leader of the same term has refused it. */
     private static final long HELLO_RETRY_MS = 50;
 
@@ -176,7 +176,7 @@
             transport.request(
                     leader,
                     new LeaseHelloRequest(term, reportedLeases(true)),
-                    HELLO_TIMEOUT_MS,
+                    HELLO_TIMEOUT_MILLIS,
                     reply -> reply.as(LeaseHelloResponse.class)
                             .filter(response -> !response.accepted() && response.term() == term)
                             .ifPresent(response -> helloSentAt =
--- a/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
+++ b/control/src/main/java/org/rowanvalve/control/lease/LeaseManager.java
@@ -51,7 +51,6 @@
  * the renewal and shortens it by M.
  */
 public final class LeaseManager {
-    private static final long CHECK_INTERVAL_MS = 100;
     /**
      * Time for which a node is alive before it is preferred as an owner, and the minimum time between voluntary moves.
      */
@@ -59,14 +58,10 @@
     /** Wait at the start of a term before the very first plan is written, so that it covers more shields. */
     private static final long FIRST_PLAN_DELAY_MS = 1500;
 
-    private static final long PLAN_WRITE_TIMEOUT_MS = 1000;
-    private static final long REQUEST_TIMEOUT_MS = 450;
+    private static final long REQUEST_TIMEOUT_MILLIS = 450;
     /** Time beyond M that a shield gets to answer a revocation. */
     private static final long REVOCATION_SLACK_MS = 500;
-    /** A placement is sent again only to an owner that was heard from within this time. */
-    private static final long MAX_RESEND_SILENCE_MS = 600;
 
-    private static final long RESEND_INTERVAL_MS = 500;
     private final EventLoop loop;
     private final Transport transport;
     private final Proposer proposer;
@@ -121,12 +116,12 @@
 
     public void start(final LeaderElection leaderElection) {
         election = leaderElection;
-        loop.scheduleRepeatedly(CHECK_INTERVAL_MS, this::tick);
+        loop.scheduleRepeatedly(100, this::tick);
     }
 
     /**
-     * Starts a term. {@code lastGrant} is the latest time, on this node's clock, at which an earlier leader may have
-     * granted a lease. {@code earlierGrantsUnknown} is true if earlier leaders may have granted leases that are not in
+     * Starts a term. The argument lastGrant is the latest time, on this node's clock, at which an earlier leader may have
+     * granted a lease. The argument earlierGrantsUnknown is true if earlier leaders may have granted leases that are not in
      * the plan read here.
      */
     public void onElected(final long term, final long lastGrant, final boolean earlierGrantsUnknown) {
@@ -153,7 +148,7 @@
         proposer.propose(
                 ItemId.PLAN,
                 writeId,
-                PLAN_WRITE_TIMEOUT_MS,
+                1000,
                 currentItem -> {
                     final PlacementPlan current = PlacementPlan.of(currentItem);
                     return current.term() > term
@@ -310,7 +305,7 @@
         proposer.propose(
                 ItemId.PLAN,
                 writeId,
-                PLAN_WRITE_TIMEOUT_MS,
+                1000,
                 current -> current.version().equals(expectedVersion)
                         ? Optional.of(current.successor(Json.write(nextPlan), writeId))
                         : Optional.empty(),
@@ -340,9 +335,9 @@
             final NodeId owner = plan.assignments().get(shard).ownerId();
             if (!state.moving
                     && available.contains(owner)
-                    && membership.silenceMs(owner) < MAX_RESEND_SILENCE_MS
+                    && membership.silenceMs(owner) < 600
                     && loop.now() - state.renewedAt > timings.leaseMs() / 2
-                    && loop.now() - state.grantedAt > RESEND_INTERVAL_MS) {
+                    && loop.now() - state.grantedAt > 500) {
                 unrenewed.add(owner);
             }
         }
@@ -369,7 +364,7 @@
             transport.request(
                     node,
                     new LeaseGrantRequest(election.term(), plan.epoch(), leases),
-                    REQUEST_TIMEOUT_MS,
+                    REQUEST_TIMEOUT_MILLIS,
                     reply -> {});
         }
     }
@@ -405,7 +400,7 @@
                 transport.request(
                         from,
                         new FenceAckRequest(term, List.copyOf(pendingAcks)),
-                        REQUEST_TIMEOUT_MS,
+                        REQUEST_TIMEOUT_MILLIS,
                         reply -> reply.as(AckResponse.class).ifPresent(response -> {
                             pendingFenceAcks.remove(from);
                             sendOwnPlacement.run();
--- a/control/src/main/java/org/rowanvalve/control/membership/Membership.java
+++ b/control/src/main/java/org/rowanvalve/control/membership/Membership.java
@@ -38,8 +38,8 @@
     /** Up to this number of shields, extra shields get heartbeats even while a voter responds. */
     private static final int MAX_SHIELDS_FOR_EXTRA_HEARTBEATS = 8;
 
-    private static final long CONTACT_TIMEOUT_MS = 1000;
-    private static final long HEARTBEAT_RESPONSE_TIMEOUT_MS = 450;
+    private static final long CONTACT_TIMEOUT_MILLIS = 1000;
+    private static final long MEMBER_RESPONSE_TIMEOUT_MILLIS = 450;
     private final Supplier<Member> self;
     private final Supplier<List<NodeId>> voters;
     private final EventLoop loop;
@@ -94,7 +94,7 @@
 
     /** Whether a voter has answered a heartbeat within the time-out. */
     public boolean hasVoterContact() {
-        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MS;
+        return loop.now() - lastContactAt <= CONTACT_TIMEOUT_MILLIS;
     }
 
     private void sendHeartbeats() {
@@ -140,7 +140,7 @@
         transport.request(
                 seed,
                 new HeartbeatRequest(ownMember, sentAt, itemCount.getAsInt(), digest, view.listId(), view.lastChange()),
-                HEARTBEAT_RESPONSE_TIMEOUT_MS,
+                MEMBER_RESPONSE_TIMEOUT_MILLIS,
                 reply -> reply.as(HeartbeatResponse.class)
                         .ifPresentOrElse(
                                 response -> {
--- a/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
+++ b/control/src/main/java/org/rowanvalve/control/operator/UpdateService.java
@@ -46,7 +46,7 @@
 
     private static final long RETRY_AFTER_MS = 500;
     /** Clients try another node after this time without a response. */
-    private static final long CLIENT_TIMEOUT_MS = 1000;
+    private static final long CLIENT_TIMEOUT_MILLIS = 1000;
     /**
      * A multiple of the maximum age of a confirmed view; allows for clocks that run at different speeds and for
      * settings that differ between nodes for a while.
@@ -283,7 +283,7 @@
             sequencer.submit(update, judgement -> {
                 if (judgement.verdict() != UpdateVerdict.INVALID_REFERENCE) {
                     respond(update, receivedAt, judgement, callback);
-                } else if (loop.now() - receivedAt > CLIENT_TIMEOUT_MS) {
+                } else if (loop.now() - receivedAt > CLIENT_TIMEOUT_MILLIS) {
                     callback.accept(unavailable("the references were judged too late"));
                 } else {
                     callback.accept(ApiResponse.invalid(judgement.errors()));
--- a/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordCopy.java
@@ -30,8 +30,8 @@
  * been copied are not requested again.
  */
 final class RecordCopy {
-    private static final long INITIAL_TIMEOUT_MS = 1000;
-    private static final long MAX_TIMEOUT_MS = 8000;
+    private static final long INITIAL_TIMEOUT_MILLIS = 1000;
+    private static final long MAX_TIMEOUT_MILLIS = 8000;
     private static final long RETRY_DELAY_MS = 250;
     private static final long INCOMPLETE_SOURCE_RETRY_MS = 1000;
     private static final int FAILURES_BEFORE_SWITCH = 3;
@@ -78,7 +78,7 @@
         }
 
         long timeoutMs() {
-            return Math.min(MAX_TIMEOUT_MS, INITIAL_TIMEOUT_MS << Math.min(failures, 3));
+            return Math.min(MAX_TIMEOUT_MILLIS, INITIAL_TIMEOUT_MILLIS << Math.min(failures, 3));
         }
 
         long retryDelayMs() {
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRecovery.java
@@ -25,7 +25,7 @@
     /** Time for which a standby counts as up to date after it has copied the records of a voter. */
     private static final long STANDBY_FRESH_MS = 3000;
 
-    private static final long STANDBY_TIMEOUT_MS = 500;
+    private static final long STANDBY_TIMEOUT_MILLIS = 500;
     private final NodeId self;
     private final String requester;
     private final VotingConfiguration votingConfiguration;
@@ -146,7 +146,7 @@
                             !copied.isEmpty() || votingConfiguration.quorum().isReadQuorum(withoutRecords),
                     this::onStandbyReady);
         }
-        loop.schedule(STANDBY_TIMEOUT_MS, () -> {
+        loop.schedule(STANDBY_TIMEOUT_MILLIS, () -> {
             if (standbyCallbacks.remove(callback)) {
                 callback.accept(false);
             }
--- a/control/src/main/java/org/rowanvalve/control/record/RecordRetention.java
+++ b/control/src/main/java/org/rowanvalve/control/record/RecordRetention.java
@@ -15,11 +15,11 @@
     /**
      * The lower bound of the longest time-out: requests of a route that was just changed or deleted may be in flight.
      */
-    static final long MIN_TIMEOUT_MS = 5_000;
+    static final long MIN_TIMEOUT_MILLIS = 5_000;
 
     private final long windowMs;
     private final LongSupplier longestTimeoutMs;
-    private long longestSeenTimeoutMs = MIN_TIMEOUT_MS;
+    private long longestSeenTimeoutMs = MIN_TIMEOUT_MILLIS;
 
     /** {@code longestTimeoutMs} is the longest time-out of a keyed request in the current configuration, in ms. */
     public RecordRetention(final long windowMs, final LongSupplier longestTimeoutMs) {
--- a/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
+++ b/control/src/main/java/org/rowanvalve/control/view/ViewSynchronizer.java
@@ -45,7 +45,7 @@
     private long previousConfirmation = NEVER;
     private static final long INTERVAL_MS = 300;
     private static final long STARTUP_MS = 6000;
-    private static final long LEARN_TIMEOUT_MS = 500;
+    private static final long LEARN_TIMEOUT_MILLIS = 500;
     private static final long POLL_MS = 10;
     private boolean wasFresh;
     private long staleSince;
@@ -156,7 +156,7 @@
                         voter,
                         new LearnNotification(ItemPage.of(items.chosenItems(response.wanted()))
                                 .items()),
-                        LEARN_TIMEOUT_MS,
+                        LEARN_TIMEOUT_MILLIS,
                         ignored -> {});
             }
         }
--- a/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
+++ b/data/src/main/java/org/rowanvalve/data/edge/EdgeRequest.java
@@ -25,7 +25,7 @@
 
 /**
  * One client request at an edge. Runs the steps of its route in order until one of them answers the request. A request for
- * a cacheable object joins a fill that another request has started, or starts one.
+ * a cached object joins a fill that another request has started, or starts one.
  */
 final class EdgeRequest {
     static final String CLIENT_HAS_LEFT = "the client has left";
--- a/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/KeyedRequests.java
@@ -35,8 +35,8 @@
  */
 public final class KeyedRequests {
     private static final long SWEEP_INTERVAL_MS = 10_000;
-    private static final long INTENT_TIMEOUT_MS = 1000;
-    private static final long OUTCOME_TIMEOUT_MS = 700;
+    private static final long INTENT_TIMEOUT_MILLIS = 1000;
+    private static final long OUTCOME_TIMEOUT_MILLIS = 700;
     private final VotingConfiguration votingConfiguration;
     private final EventLoop loop;
     private final Transport transport;
@@ -252,7 +252,7 @@
         entry.begin(loop.now());
         entry.attemptId = KeyedRecord.attemptId(reader, ++attemptSerial);
         entry.foreignRecord = null;
-        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MS, result -> {
+        writeRecord(shard, recordOf(shard, key, entry, false), INTENT_TIMEOUT_MILLIS, result -> {
             if (entry.foreignRecord != null) {
                 yieldToForeign(shard, entry);
             } else if (result.status() == RecordWrite.Status.OUTRANKED) {
@@ -319,7 +319,7 @@
                                 epoch,
                                 keyedRecord,
                                 shard.reader().eraOf(replica).orElse(0)),
-                        OUTCOME_TIMEOUT_MS,
+                        OUTCOME_TIMEOUT_MILLIS,
                         reply -> {}));
         entry.respond(response);
     }
@@ -333,7 +333,7 @@
         if (originResponse.result() == OriginTransport.ExchangeResult.COMPLETE) {
             entry.outcome = new KeyedOutcome(
                     originResponse.status(), EndToEndHeaders.of(originResponse.headers()), originResponse.body(), true);
-            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MS, result -> {
+            writeRecord(shard, recordOf(shard, key, entry, false), OUTCOME_TIMEOUT_MILLIS, result -> {
                 entry.end(false, loop.now());
                 entry.respond(completed(shard, entry.outcome));
             });
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordReader.java
@@ -28,7 +28,7 @@
  * to each replica is open, regardless of how many keyed requests wait for the records.
  */
 final class RecordReader {
-    private static final long INITIAL_TIMEOUT_MS = 1000;
+    private static final long INITIAL_TIMEOUT_MILLIS = 1000;
     private static final int MAX_DOUBLINGS = 3;
     private static final long INITIAL_BACKOFF_MS = 100;
     private static final long MAX_BACKOFF_MS = 1000;
@@ -77,7 +77,7 @@
         }
 
         long timeoutMs() {
-            return INITIAL_TIMEOUT_MS << Math.min(failures, MAX_DOUBLINGS);
+            return INITIAL_TIMEOUT_MILLIS << Math.min(failures, MAX_DOUBLINGS);
         }
 
         long backoffMs() {
--- a/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
+++ b/data/src/main/java/org/rowanvalve/data/keyed/RecordWrite.java
@@ -23,7 +23,7 @@
  * is read again. If too few replicas count, the record is written once more after enough of them have been read again.
  */
 final class RecordWrite {
-    private static final long VOTING_CHANGE_TIMEOUT_MS = 1500;
+    private static final long VOTING_CHANGE_TIMEOUT_MILLIS = 1500;
     private static final long CHECK_INTERVAL_MS = 100;
     private final VotingConfiguration votingConfiguration;
     private final Quorum quorum;
@@ -177,7 +177,7 @@
      */
     private void onVotingSetChange() {
         finished = true;
-        shard.whenReady(VOTING_CHANGE_TIMEOUT_MS, () -> repeat(mayRepeat), this::fail);
+        shard.whenReady(VOTING_CHANGE_TIMEOUT_MILLIS, () -> repeat(mayRepeat), this::fail);
     }
 
     private void finish(final boolean succeeded) {
--- a/data/src/main/java/org/rowanvalve/data/shield/ForwardConfirmation.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/ForwardConfirmation.java
@@ -21,10 +21,10 @@
  * been read yet. Such a request is suspended until its edge has responded.
  */
 final class ForwardConfirmation {
-    private static final long RESPONSE_TIMEOUT_MS = 300;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 300;
     private static final long RETRY_DELAY_MS = 100;
     /** After this time an edge that does not respond counts as disconnected, and its requests are cancelled. */
-    private static final long CONFIRMATION_TIMEOUT_MS = 3000;
+    private static final long CONFIRMATION_TIMEOUT_MILLIS = 3000;
 
     private final EventLoop loop;
     private final Transport transport;
@@ -84,7 +84,7 @@
     private void askEdges() {
         final Map<EdgeIncarnation, Map<Long, Cancellation>> pending = Map.copyOf(unconfirmed);
         unconfirmed.clear();
-        final long giveUpAt = loop.now() + CONFIRMATION_TIMEOUT_MS;
+        final long giveUpAt = loop.now() + CONFIRMATION_TIMEOUT_MILLIS;
         pending.forEach((edgeIncarnation, forwards) -> askEdge(edgeIncarnation, forwards, pauseCount, giveUpAt));
     }
 
@@ -104,7 +104,7 @@
         transport.request(
                 edgeIncarnation.edge(),
                 new OpenForwardsRequest(edgeIncarnation.incarnation(), List.copyOf(forwards.keySet())),
-                RESPONSE_TIMEOUT_MS,
+                RESPONSE_TIMEOUT_MILLIS,
                 reply -> onReply(edgeIncarnation, forwards, pauseNumber, giveUpAt, reply));
     }
 
--- a/data/src/main/java/org/rowanvalve/data/shield/Shield.java
+++ b/data/src/main/java/org/rowanvalve/data/shield/Shield.java
@@ -46,7 +46,7 @@
     /** The longest time for which a keyed request waits for the records of its shard to be read. */
     private static final long MAX_RECORD_READ_WAIT_MS = 1500;
     /** The time within which an edge must respond to a request for one more attempt. */
-    private static final long GRANT_TIMEOUT_MS = 300;
+    private static final long GRANT_TIMEOUT_MILLIS = 300;
 
     /** The longest time for which a request waits for the configuration version that its edge knows. */
     private static final long MAX_UPDATE_WAIT_MS = 400;
@@ -156,7 +156,7 @@
                 callback -> transport.request(
                         from,
                         new AttemptGrantRequest(request.serial()),
-                        GRANT_TIMEOUT_MS,
+                        GRANT_TIMEOUT_MILLIS,
                         reply -> callback.accept(reply.as(AttemptGrantResponse.class)
                                 .map(AttemptGrantResponse::count)
                                 .orElse(0))));
--- a/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
+++ b/server/src/main/java/org/rowanvalve/server/process/ProcessModule.java
@@ -30,7 +30,7 @@
 @Module
 public final class ProcessModule {
     private static final int JOURNAL_CAPACITY = 2000;
-    private static final int ORIGIN_CONNECT_TIMEOUT_MS = 500;
+    private static final int ORIGIN_CONNECT_TIMEOUT_MILLIS = 500;
     private static final int MAX_ORIGIN_THREADS = 16;
     private static final int MIN_ORIGIN_THREADS = 2;
 
@@ -91,7 +91,7 @@
         final PlainTextConnector connector = new PlainTextConnector();
         connector.setSelectors(1);
         connector.setExecutor(threads);
-        connector.setConnectTimeout(java.time.Duration.ofMillis(ORIGIN_CONNECT_TIMEOUT_MS));
+        connector.setConnectTimeout(java.time.Duration.ofMillis(ORIGIN_CONNECT_TIMEOUT_MILLIS));
         final HttpClient http = new OriginHttpClient(connector);
         http.setExecutor(threads);
         return http;
--- a/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
+++ b/server/src/main/java/org/rowanvalve/server/process/VoterDiscovery.java
@@ -33,7 +33,7 @@
 final class VoterDiscovery {
     private static final String STORAGE_KEY = "seats";
     private static final long RETRY_MS = 60;
-    private static final long REQUEST_TIMEOUT_MS = 1000;
+    private static final long REQUEST_TIMEOUT_MILLIS = 1000;
 
     private final Options options;
     private final CoreEventLoop loop;
@@ -108,7 +108,7 @@
                     .forEach(seed -> loop.execute(() -> net.request(
                             seed,
                             new VotersRequest(),
-                            REQUEST_TIMEOUT_MS,
+                            REQUEST_TIMEOUT_MILLIS,
                             reply -> reply.as(VotersResponse.class)
                                     .filter(response ->
                                             !response.foundingVoters().isEmpty())
